--- a/Source/node/routed_calls.cpp
+++ b/Source/node/routed_calls.cpp
@@ -65,7 +65,7 @@
     entry_hooks hooks;
     hooks.send = [this](std::uint64_t attemptId, const member& target, const call_request& request) { sendAttempt(attemptId, target, request); };
     hooks.cancelAttempt = [this](std::uint64_t attemptId) { cancelAttempt(attemptId); };
-    hooks.ended = [this](std::uint64_t memberId, bool answered) { m_hooks.ended(memberId, answered); };
+    hooks.attemptEnded = [this](std::uint64_t memberId, bool answered) { m_hooks.attemptEnded(memberId, answered); };
     hooks.findParent = [this](const entry_request& request) { return m_target.findParent(request.parentId, request.deadline); };
     hooks.onwardEnded = [this](std::uint64_t runId, const onward_report& report) { m_target.learnOnward(runId, report); };
     hooks.standingOf = [this](request_fingerprint content) { return m_hooks.standingOf(content); };
@@ -126,7 +126,7 @@
         return;
     }
     removeClientTerms(request.fields);
-    m_hooks.begins();
+    m_hooks.callArrived();
     auto deadline = now + terms.remaining.value_or(defaultWait);
     entry_request entry { terms.requestId, terms.parentId, terms.key, std::move(request), deadline };
     auto callId = m_entry.arrive(
@@ -174,7 +174,7 @@
 
 void routed_calls::peerCallArrived(call_request request, const std::shared_ptr<peer_exchange>& exchange)
 {
-    m_hooks.begins();
+    m_hooks.callArrived();
     auto id = m_target.arrive(
         std::move(request), [exchange](const call_answer& answer) { exchange->answer(answer); }, std::chrono::steady_clock::now());
     exchange->whenCancelled([this, id] { m_target.cancel(id, std::chrono::steady_clock::now()); });
--- a/Source/node/routed_calls.h
+++ b/Source/node/routed_calls.h
@@ -22,9 +22,9 @@
 struct routed_call_hooks {
     std::function<std::uint64_t()> random;
     // A call begins, so that deadlines are to be looked at often.
-    std::function<void()> begins;
+    std::function<void()> callArrived;
     // Whether anything came back from a member.
-    std::function<void(std::uint64_t memberId, bool answered)> ended;
+    std::function<void(std::uint64_t memberId, bool answered)> attemptEnded;
     // The server beside this node is another one than was meant.
     std::function<void(const server_start&)> misdirected;
     // That server told a load that cannot be read.
--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -356,7 +356,7 @@
     m_router.finished(call.target, seen, now);
     // A node that answers tells its limit, also where its server lost the answer.
     bool nothingCameBack = answer.limit == 0 && (answer.outcome.reason == verdict_reason::PeerUnreachable || answer.outcome.reason == verdict_reason::AnswerLost);
-    m_hooks.ended(call.target, !nothingCameBack);
+    m_hooks.attemptEnded(call.target, !nothingCameBack);
     if (answer.limit != 0) {
         bool hasNoRoom = answer.inFlight >= answer.limit || answer.outcome.reason == verdict_reason::NoFreeSlot;
         m_room.answered(call.request.service, hasNoRoom, now);
--- a/Source/node/routed_entry.h
+++ b/Source/node/routed_entry.h
@@ -59,7 +59,7 @@
     std::function<void(std::uint64_t attemptId, const member&, const call_request&)> send;
     std::function<void(std::uint64_t attemptId)> cancelAttempt;
     // Whether anything came back from a member.
-    std::function<void(std::uint64_t memberId, bool answered)> ended;
+    std::function<void(std::uint64_t memberId, bool answered)> attemptEnded;
     // The run of the own server that makes a call; nothing for a whole request.
     std::function<std::optional<parent_run>(const entry_request&)> findParent;
     // A call of the own server ended.
--- a/Source/node/routed_process.cpp
+++ b/Source/node/routed_process.cpp
@@ -200,8 +200,8 @@
     {
         routed_call_hooks hooks;
         hooks.random = [this] { return m_random(); };
-        hooks.begins = [this] { workBegins(); };
-        hooks.ended = [this](std::uint64_t memberId, bool answered) { m_membership->callEnded(memberId, answered); };
+        hooks.callArrived = [this] { workBegins(); };
+        hooks.attemptEnded = [this](std::uint64_t memberId, bool answered) { m_membership->callEnded(memberId, answered); };
         hooks.misdirected = [this](const server_start& start) { m_server.misdirected(start); };
         hooks.loadUnreadable = [this](const server_start& start) { noteLoadUnreadable(start); };
         hooks.serverEnded = [this](const server_end& end) {
--- a/Tests/FreeSlots/choice_model.cpp
+++ b/Tests/FreeSlots/choice_model.cpp
@@ -85,7 +85,7 @@
         later(wayOfAMessage, [this, entry, attemptId, target = target.id - 1, request] { send(entry, attemptId, target, request); });
     };
     hooks.cancelAttempt = [](std::uint64_t) {};
-    hooks.ended = [](std::uint64_t, bool) {};
+    hooks.attemptEnded = [](std::uint64_t, bool) {};
     hooks.findParent = [](const entry_request&) { return std::nullopt; };
     hooks.onwardEnded = [](std::uint64_t, const onward_report&) {};
     hooks.random = [this] { return m_random(); };
--- a/Tests/OrganisationKeys/keys_at_entry_test.cpp
+++ b/Tests/OrganisationKeys/keys_at_entry_test.cpp
@@ -70,7 +70,7 @@
             entry_hooks result;
             result.send = [this](std::uint64_t, const member&, const call_request& request) { sent.push_back(request); };
             result.cancelAttempt = [](std::uint64_t) {};
-            result.ended = [](std::uint64_t, bool) {};
+            result.attemptEnded = [](std::uint64_t, bool) {};
             result.findParent = [this](const entry_request&) { return running; };
             result.onwardEnded = [](std::uint64_t, const onward_report&) {};
             result.random = [this] { return m_random += 0x9e3779b97f4a7c15U; };
--- a/Tests/RoutedEntry/routed_entry_test.cpp
+++ b/Tests/RoutedEntry/routed_entry_test.cpp
@@ -122,7 +122,7 @@
                     whenCancelled();
                 }
             };
-            result.ended = [](std::uint64_t, bool) {};
+            result.attemptEnded = [](std::uint64_t, bool) {};
             result.observed = [this](const call_observation& seen) {
                 if (seen.decision == call_decision::Finished) {
                     finished.push_back({ seen.context.position, seen.outcome, seen.inputs });
