--- a/Source/node/routed_calls.cpp
+++ b/Source/node/routed_calls.cpp
@@ -8,8 +8,8 @@
 
     constexpr unsigned statusBadRequest = 400;
 
-    // A client that does not say how long it waits.
-    constexpr std::chrono::milliseconds defaultWait { 10000 };
+    // For clients that do not say how long they wait.
+    constexpr std::chrono::milliseconds defaultTimeout { 10000 };
 
     peer_client_settings peerSettings(const node_settings& settings)
     {
@@ -19,20 +19,20 @@
         return result;
     }
 
-    instance_client_settings instanceSettings(const node_settings& node)
+    instance_client_settings instanceSettings(const node_settings& nodeSettings)
     {
         instance_client_settings settings;
-        settings.outgoingAddress = node.outgoingAddress;
-        settings.maxBodyBytes = node.maxBodyBytes;
+        settings.outgoingAddress = nodeSettings.outgoingAddress;
+        settings.maxBodyBytes = nodeSettings.maxBodyBytes;
         return settings;
     }
 
-    entry_settings entrySettings(const node_settings& node)
+    entry_settings entrySettings(const node_settings& nodeSettings)
     {
         entry_settings settings;
-        settings.place = { node.availabilityZone, node.region };
-        settings.ownService = node.routes->service;
-        settings.retries = { node.routes->retryRatio, node.routes->retrySlack, node.routes->retryWindow };
+        settings.location = { nodeSettings.availabilityZone, nodeSettings.region };
+        settings.ownService = nodeSettings.routes->service;
+        settings.retries = { nodeSettings.routes->retryRatio, nodeSettings.routes->retrySlack, nodeSettings.routes->retryWindow };
         return settings;
     }
 
@@ -67,13 +67,13 @@
     hooks.cancelAttempt = [this](std::uint64_t attemptId) { cancelAttempt(attemptId); };
     hooks.attemptEnded = [this](std::uint64_t memberId, bool answered) { m_hooks.attemptEnded(memberId, answered); };
     hooks.findParent = [this](const entry_request& request) { return m_target.findParent(request.parentId, request.deadline); };
-    hooks.onwardEnded = [this](std::uint64_t runId, const onward_report& report) { m_target.learnOnward(runId, report); };
+    hooks.onwardCallEnded = [this](std::uint64_t runId, const onward_report& report) { m_target.recordOnwardCall(runId, report); };
     hooks.standingOf = [this](request_fingerprint content) { return m_hooks.standingOf(content); };
     hooks.takeQuota = m_hooks.takeQuota;
     hooks.cancelQuota = m_hooks.cancelQuota;
     hooks.giveBackQuota = m_hooks.giveBackQuota;
     hooks.random = [this] { return m_hooks.random(); };
-    hooks.observed = [this](const call_observation& seen) { m_hooks.observed(seen); };
+    hooks.observed = [this](const call_observation& observation) { m_hooks.observed(observation); };
     return hooks;
 }
 
@@ -84,15 +84,15 @@
         m_runs.begin(runId, server, request, deadline);
     };
     hooks.cancelRun = [this](std::uint64_t runId) { m_runs.cancel(runId); };
-    hooks.serverStartedAgain = [this] { m_runs.closeIdle(); };
-    hooks.askServer = [this] {
-        m_runs.askWhetherThere([this](server_presence presence) { m_target.serverAsked(presence, std::chrono::steady_clock::now()); });
+    hooks.serverRestarted = [this] { m_runs.closeIdle(); };
+    hooks.checkServer = [this] {
+        m_runs.askWhetherThere([this](server_presence presence) { m_target.serverChecked(presence, std::chrono::steady_clock::now()); });
     };
     hooks.serverEnded = [this](const server_end& end) { m_hooks.serverEnded(end); };
     hooks.standingOf = [this](request_fingerprint content) { return m_hooks.standingOf(content); };
     hooks.contentServed = [this](request_fingerprint content) { m_hooks.contentServed(content); };
     hooks.random = [this] { return m_hooks.random(); };
-    hooks.observed = [this](const call_observation& seen) { m_hooks.observed(seen); };
+    hooks.observed = [this](const call_observation& observation) { m_hooks.observed(observation); };
     return hooks;
 }
 
@@ -105,7 +105,7 @@
     };
     hooks.loadTold = [this](const server_start& start, const std::optional<server_load>& load) {
         if (load) {
-            m_target.serverTold(start, *load, std::chrono::steady_clock::now());
+            m_target.serverReportedLoad(start, *load, std::chrono::steady_clock::now());
         } else {
             m_hooks.loadUnreadable(start);
         }
@@ -127,10 +127,10 @@
     }
     removeClientTerms(request.fields);
     m_hooks.callArrived();
-    auto deadline = now + terms.remaining.value_or(defaultWait);
-    entry_request entry { terms.requestId, terms.parentId, terms.key, std::move(request), deadline };
+    auto deadline = now + terms.remaining.value_or(defaultTimeout);
+    entry_request entryRequest { terms.requestId, terms.parentId, terms.key, std::move(request), deadline };
     auto callId = m_entry.arrive(
-        std::move(entry), [exchange, requestId = terms.requestId](entry_answer answer) {
+        std::move(entryRequest), [exchange, requestId = terms.requestId](entry_answer answer) {
             exchange->respond(responseTo(requestId, std::move(answer)));
         },
         now);
@@ -155,14 +155,14 @@
 
 void routed_calls::cancelAttempt(std::uint64_t attemptId)
 {
-    auto node = m_paths.extract(attemptId);
-    if (!node) {
+    auto extracted = m_paths.extract(attemptId);
+    if (!extracted) {
         return;
     }
-    if (node.mapped().local) {
-        m_target.cancel(node.mapped().id, std::chrono::steady_clock::now());
+    if (extracted.mapped().local) {
+        m_target.cancel(extracted.mapped().id, std::chrono::steady_clock::now());
     } else {
-        m_peers.cancel(node.mapped().id);
+        m_peers.cancel(extracted.mapped().id);
     }
 }
 
--- a/Source/node/routed_calls.h
+++ b/Source/node/routed_calls.h
@@ -21,48 +21,49 @@
 
 struct routed_call_hooks {
     std::function<std::uint64_t()> random;
-    // A call begins, so that deadlines are to be looked at often.
+    // A call arrived: tick() has to be called often from now on.
     std::function<void()> callArrived;
-    // Whether anything came back from a member.
+    // An attempt ended; tells whether the member sent any response.
     std::function<void(std::uint64_t memberId, bool answered)> attemptEnded;
-    // The server beside this node is another one than was meant.
+    // The local backend server says that it is not this start.
     std::function<void(const server_start&)> misdirected;
-    // That server told a load that cannot be read.
+    // The local backend server reported a load that cannot be parsed.
     std::function<void(const server_start&)> loadUnreadable;
-    // That server has ended while it had requests.
+    // The local backend server terminated while it had requests.
     std::function<void(const server_end&)> serverEnded;
-    // What servers' ends say of the content.
+    // As in entry_hooks.
     std::function<content_standing(request_fingerprint)> standingOf;
-    // That server has served a request of the content.
+    // The local backend server answered a request of this content.
     std::function<void(request_fingerprint)> contentServed;
-    // As those of the entry.
+    // As in entry_hooks.
     std::function<std::uint64_t(const quota_request&, quota_handler, std::chrono::steady_clock::time_point now)> takeQuota;
-    std::function<void(std::uint64_t quotaWait)> cancelQuota;
+    std::function<void(std::uint64_t quotaWaitId)> cancelQuota;
     std::function<void(const std::string& organisation, std::chrono::steady_clock::time_point now)> giveBackQuota;
     call_observer observed;
 };
 
-// The calls of one node: joins the entry, the target, the peers and the server
-// beside it, so that an attempt at the own server takes no way over the network.
+// Handles all calls of one node: connects its entry, its target, the client for peers and
+// the client for the local backend server. An attempt at the local backend server bypasses
+// the network.
 class routed_calls {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // The settings have their section for routes. The time is the start of the process.
+    // The settings must have a section for routes. `started` is the start of the process.
     routed_calls(boost::asio::io_context&, const node_settings&, std::uint64_t selfId, time_point started, routed_call_hooks);
 
-    // A request of a client, or of the own server.
+    // A request from a client or from the local backend server.
     void requestArrived(http_request, const std::shared_ptr<http_exchange>&);
 
-    // A call that another node sends to the server beside this one.
+    // A call from another node for the local backend server.
     void peerCallArrived(call_request, const std::shared_ptr<peer_exchange>&);
 
     void tick(time_point now);
 
     bool idle() const { return m_entry.inProgress() == 0 && m_target.inProgress() == 0; }
 
-    // Whether tick() is to be called often.
-    bool isBusy() const { return !idle() || m_target.doubtsServer(); }
+    // Whether tick() has to be called often.
+    bool isBusy() const { return !idle() || m_target.isServerInDoubt(); }
 
     routed_entry& entry() { return m_entry; }
     const routed_entry& entry() const { return m_entry; }
@@ -72,7 +73,7 @@
     const instance_client_counts& serverCounts() const { return m_runs.counts(); }
 
 private:
-    // An attempt on its way: to the server beside this node, or to a peer.
+    // Where an attempt was sent: to the local backend server or to a peer. The id cancels it there.
     struct attempt_path {
         bool local = false;
         std::uint64_t id = 0;
--- a/Source/node/routed_dump.cpp
+++ b/Source/node/routed_dump.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-    // Contents of requests that a line on the end of a server names, so that lines stay bounded.
-    constexpr std::size_t mostContentsLogged = 64;
+    // Limits the length of the log line about a terminated backend server.
+    constexpr std::size_t maxLoggedContents = 64;
 
 }
 
@@ -38,14 +38,14 @@
 Json::Value dumpTargets(const std::vector<target_standing>& targets)
 {
     Json::Value json(Json::arrayValue);
-    for (const auto& each : targets) {
+    for (const auto& standing : targets) {
         Json::Value target;
-        target["name"] = each.name;
-        target["service"] = each.service;
-        target["load"] = each.load;
-        target["limit"] = each.limit;
-        if (each.pace) {
-            target["pace"] = *each.pace;
+        target["name"] = standing.name;
+        target["service"] = standing.service;
+        target["load"] = standing.load;
+        target["limit"] = standing.limit;
+        if (standing.pace) {
+            target["pace"] = *standing.pace;
         }
         json.append(target);
     }
@@ -76,7 +76,7 @@
 void logServerEnd(const server_end& end)
 {
     std::string contents;
-    for (std::size_t i = 0; i < std::min(end.running.size(), mostContentsLogged); ++i) {
+    for (std::size_t i = 0; i < std::min(end.running.size(), maxLoggedContents); ++i) {
         contents += (i == 0 ? "" : " ") + toString(end.running[i]);
     }
     logEvent(events::backendServerEnded, { { "instance", end.start.instanceId }, { "running", std::to_string(end.running.size()) }, { "contents", contents } });
--- a/Source/node/routed_dump.h
+++ b/Source/node/routed_dump.h
@@ -12,7 +12,7 @@
 
 namespace vanillashunt {
 
-// The parts of a routed node that operators look at.
+// The parts of a routed node from which its state and metrics are read.
 struct routed_parts {
     const routed_calls& calls;
     const server_reports& server;
@@ -26,17 +26,17 @@
     std::uint64_t unreadableLoads = 0;
 };
 
-// The calls in progress, as the dump of a node with contracts has them, so that one
-// command reads both.
+// The calls in progress, in the format of nodes with contracts, so that one command reads
+// both.
 Json::Value dumpCalls(const routed_parts&);
 
-// How a node sees the targets that it has sent calls to: why a call goes where it goes. Apart
-// from the calls, which the metrics are read off each time that they are asked for.
+// The targets that this node has sent calls to, with the figures by which it chooses among
+// them. Not part of dumpCalls(), which is evaluated for each request of the metrics.
 Json::Value dumpTargets(const std::vector<target_standing>&);
 
 node_gauges gaugesOf(const routed_parts&);
 
-// Logs that the server has ended, and under which contents.
+// Logs that the backend server terminated, and the contents of the requests it was running.
 void logServerEnd(const server_end&);
 
 }
--- a/Source/node/routed_entry.h
+++ b/Source/node/routed_entry.h
@@ -29,24 +29,24 @@
 
 namespace vanillashunt {
 
-// One request as it came to this node's port.
+// One request as received at this node's port.
 struct entry_request {
     std::string requestId;
-    // The request for whose sake this one is made, if it names one.
+    // Id of the request on whose behalf this one is made; empty if it names none.
     std::string parentId;
-    // The key that it came with.
+    // The organisation key sent with the request.
     std::optional<std::string> key;
     http_request message;
-    // When its sender stops waiting.
+    // When the sender stops waiting.
     std::chrono::steady_clock::time_point deadline;
 };
 
-// What the sender of a request is told: the server's answer, or a refusal.
+// The result for the sender of a request: the backend server's answer or a refusal.
 struct entry_answer {
-    // Ran: answer holds the server's answer. Otherwise it holds nothing.
+    // If Ran, `answer` holds the backend server's answer; otherwise it is empty.
     verdict outcome;
     call_answer answer;
-    // The HTTP status of a refusal.
+    // HTTP status and text of a refusal.
     unsigned refusalStatus = 0;
     std::string message;
 };
@@ -58,48 +58,51 @@
 
     std::function<void(std::uint64_t attemptId, const member&, const call_request&)> send;
     std::function<void(std::uint64_t attemptId)> cancelAttempt;
-    // Whether anything came back from a member.
+    // An attempt ended; tells whether the member sent any response.
     std::function<void(std::uint64_t memberId, bool answered)> attemptEnded;
-    // The run of the own server that makes a call; nothing for a whole request.
+    // Finds the run at the local backend server that makes this onward call; returns nothing for
+    // a client request.
     std::function<std::optional<parent_run>(const entry_request&)> findParent;
-    // A call of the own server ended.
-    std::function<void(std::uint64_t runId, const onward_report&)> onwardEnded;
-    // What servers' ends say of the content; without the hook every one is harmless.
+    // An onward call of the local backend server ended.
+    std::function<void(std::uint64_t runId, const onward_report&)> onwardCallEnded;
+    // How requests of this content are treated, depending on how many servers terminated while
+    // running them. Without the hook every content is harmless.
     std::function<content_standing(request_fingerprint)> standingOf;
-    // Lets the request go on when its organisation's quota has room; as quota_account's. Without
-    // the hooks there are no limits.
+    // Same as quota_account::take(), cancel() and giveBack(). Without these hooks organisations
+    // have no limits.
     std::function<std::uint64_t(const quota_request&, quota_handler, time_point now)> takeQuota;
-    std::function<void(std::uint64_t quotaWait)> cancelQuota;
+    std::function<void(std::uint64_t quotaWaitId)> cancelQuota;
     std::function<void(const std::string& organisation, time_point now)> giveBackQuota;
     std::function<std::uint64_t()> random;
     call_observer observed;
 };
 
 struct entry_settings {
-    node_place place;
-    // The service of the server beside this node: where these requests begin.
+    node_place location;
+    // Service of the local backend server, named to the targets as the caller.
     std::string ownService;
     retry_allowance_settings retries;
 };
 
-// The requests that enter at this node, those of its clients and those of its own
-// server: finds their route, sends each to a server's node, and is the only one
-// that sends it again.
+// Handles the requests that enter at this node, from clients and from the local backend server:
+// finds the route, sends the request to the node of a backend server, and retries it. No other
+// node retries it.
 class routed_entry {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // The time is when the process started.
+    // `started` is the start of the process.
     routed_entry(entry_settings, entry_hooks, time_point started);
 
-    // A version older than the one in force is not taken.
+    // Ignored unless its version is later than the current one.
     void setConfiguration(route_snapshot);
     void setMembers(const member_list&, time_point now);
 
-    // The handler is called exactly once, unless the request is cancelled.
+    // Returns the id to pass to cancel(); 0 if the request was refused without one. The handler
+    // is called exactly once unless the request is cancelled, possibly before arrive() returns.
     std::uint64_t arrive(entry_request, entry_handler, time_point now);
 
-    // The sender of the request has left.
+    // The sender of the request disconnected.
     void cancel(std::uint64_t callId, time_point now);
 
     void attemptAnswered(std::uint64_t attemptId, call_answer, time_point now);
@@ -111,7 +114,7 @@
     // refuses all later ones.
     void endAll(time_point now);
 
-    // Ends requests whose time is over.
+    // Ends requests whose deadline has passed.
     void tick(time_point now);
 
     std::size_t inProgress() const { return m_calls.size(); }
@@ -128,61 +131,61 @@
         call_request request;
         entry_handler handler;
         time_point arrived;
-        // 0 for a whole request.
+        // Id of the run that makes this onward call; 0 for a client request.
         std::uint64_t parentRun = 0;
         std::uint32_t maxAttempts = 1;
-        std::vector<std::uint64_t> tried;
-        // Targets that had no free slot, and may be asked again if no other is left.
-        std::vector<std::uint64_t> full;
-        // Servers that the request has reached, as far as can be known.
-        std::uint32_t reached = 0;
+        std::vector<std::uint64_t> triedTargets;
+        // Targets that had no free slot. They are tried again if no other target is left.
+        std::vector<std::uint64_t> fullTargets;
+        // Attempts that reached a backend server or may have reached one.
+        std::uint32_t serversReached = 0;
         bool mayHaveRun = false;
-        // A server's own failure, which is handed on if nothing better comes.
-        std::optional<call_answer> failure;
-        // The last refusal, and its advice.
-        verdict refusal;
+        // A server error from a backend server, returned if no further attempt gets an answer.
+        std::optional<call_answer> serverFailure;
+        // The latest refusal, with its retry advice.
+        verdict lastRefusal;
         std::uint64_t attemptId = 0;
-        std::uint64_t target = 0;
+        std::uint64_t targetId = 0;
         std::string targetName;
         bool targetInOtherZone = false;
         time_point attemptStarted;
-        // While it waits for its organisation's quota.
-        std::uint64_t quotaWait = 0;
-        // Whether a part of that is used up for it.
+        // Nonzero while the request waits for its organisation's quota.
+        std::uint64_t quotaWaitId = 0;
+        // Whether the request has used up quota.
         bool hasQuota = false;
-        // What the entrance compared a whole request with.
+        // The cut that the entrance gate compared a client request with.
         remembered_cut entranceCut;
     };
 
-    // Who asks, as far as the node can tell.
+    // Who sent a request, as far as this node can tell.
     struct request_origin {
-        // The run of the own server that makes the request; nothing for a whole one.
-        std::optional<parent_run> maker;
-        // Null where nobody is told apart.
-        const organisation* asker = nullptr;
-        // Why it is not taken.
+        // The run at the local backend server that makes the request; nothing for a client request.
+        std::optional<parent_run> parent;
+        // The organisation whose key the request has; null if there is none.
+        const organisation* sender = nullptr;
+        // Set if the request is not accepted.
         std::optional<verdict> refusal;
     };
 
     request_origin originOf(const entry_request&, const route&) const;
     void takeQuota(std::uint64_t callId, std::chrono::milliseconds targetLatency, time_point now);
     void quotaDecided(std::uint64_t callId, quota_refusal, time_point now);
-    void endQuota(entry_call&, time_point now);
-    void learn(const entry_call&, const call_answer&, time_point now);
-    void attempt(std::uint64_t callId, time_point now);
+    void releaseQuota(entry_call&, time_point now);
+    void learnFromAnswer(const entry_call&, const call_answer&, time_point now);
+    void startAttempt(std::uint64_t callId, time_point now);
     content_standing standingOf(const entry_call&) const;
     void refusePoison(std::uint64_t callId, time_point now);
     std::optional<member> chooseTarget(entry_call&, content_standing, time_point now);
-    std::optional<member> chooseAgreed(entry_call&);
-    void noteReached(entry_call&, time_point now);
-    bool mayTryAgain(entry_call&, const call_answer&, std::chrono::microseconds latency, time_point now);
+    std::optional<member> chooseAgreedTarget(entry_call&);
+    void recordServerReached(entry_call&, time_point now);
+    bool shouldRetry(entry_call&, const call_answer&, std::chrono::microseconds latency, time_point now);
     void finish(std::uint64_t callId, const verdict&, call_answer, const std::string& message, time_point now);
     void giveUp(std::uint64_t callId, const verdict&, const std::string& message, time_point now);
     void endCalls(const std::function<bool(const entry_call&)>& shouldEnd, const verdict&, const std::string& message, time_point now);
-    void refuseNow(const entry_request&, const entry_handler&, unsigned status, const verdict&, const std::string& message, time_point now) const;
+    void refuseOnArrival(const entry_request&, const entry_handler&, unsigned status, const verdict&, const std::string& message, time_point now) const;
     void abandonAttempt(entry_call&, time_point now);
     void observe(const entry_call&, call_decision, const verdict&, const std::string& detail, std::uint32_t status, time_point now) const;
-    std::chrono::milliseconds comeBackAfter() const;
+    std::chrono::milliseconds jitteredRetryAfter() const;
 
     entry_settings m_settings;
     entry_hooks m_hooks;
@@ -190,10 +193,10 @@
     organisation_book m_organisations;
     destination_rotation m_rotation;
     router m_router;
-    retry_allowance m_allowance;
-    entrance_gate m_entrance;
-    cost_order m_costs;
-    service_room m_room;
+    retry_allowance m_retryAllowance;
+    entrance_gate m_entranceGate;
+    cost_order m_costOrder;
+    service_room m_freeSlotEstimates;
     relative_pace m_paces;
     call_intake m_intake = call_intake::All;
     std::unordered_map<std::uint64_t, entry_call> m_calls;
--- a/Source/node/routed_target.cpp
+++ b/Source/node/routed_target.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-    constexpr unsigned leastServerError = 500;
+    constexpr unsigned minServerErrorStatus = 500;
 
-    // By then a call of the same content has ended, mostly, or its server has.
-    constexpr std::chrono::milliseconds suspectReturn { 500 };
+    // By then the call of the same content, or the server that runs it, has usually ended.
+    constexpr std::chrono::milliseconds suspectRetryAfter { 500 };
 
     admission_settings gateSettings(const std::function<std::uint64_t()>& random)
     {
@@ -33,35 +33,35 @@
 {
     bool replaced = m_server && server && m_server->start != server->start;
     if (replaced) {
-        // Another start: what the gate has learnt of the last one does not hold.
+        // What was measured for the previous start does not apply to this one.
         m_gate.setSlots(0, now);
         m_pace.restart();
     }
-    bool startedAgain = replaced && isLaterStart(server->start, m_server->start);
+    bool restarted = replaced && isLaterStart(server->start, m_server->start);
     m_server = server;
     m_takesWork = takesWork;
     if (server && server->warmupLeft.count() > 0) {
-        m_warmFrom = now + server->warmupLeft;
+        m_warmupEnd = now + server->warmupLeft;
     }
     m_gate.setSlots(takesWork ? usableSlots(server->slots) : 0, takesWork ? server->warmupLeft : std::chrono::milliseconds(0), now);
-    if (startedAgain) {
-        m_hooks.serverStartedAgain();
-        // Only now that the gate has slots again: what waits is for the new start.
+    if (restarted) {
+        m_hooks.serverRestarted();
+        // Not before the gate has slots again: waiting calls run at the new start.
         endRuns(now);
     }
     if (server) {
-        noteServerEnd(m_lostRuns.serverNamed(server->start, now));
+        reportServerEnd(m_lostRuns.serverNamed(server->start, now));
     }
     startReleased(now);
 }
 
-// The runs ended with the start that had them. Another id at the address is no proof of
-// that: its report may be the late one.
+// Answers the runs of the previous start as lost. This holds only for a later start of the
+// same instance: a report of another instance may itself be the outdated one.
 void routed_target::endRuns(time_point now)
 {
     std::vector<std::uint64_t> ended;
-    for (const auto& [id, entry] : m_arrivals) {
-        if (entry.running) {
+    for (const auto& [id, call] : m_arrivals) {
+        if (call.running) {
             ended.push_back(id);
         }
     }
@@ -92,8 +92,8 @@
     return refusalOfContent(request);
 }
 
-// Of a content under which servers have ended one call at a time is in progress here: if it
-// ends the server, it does so alone.
+// Calls of a content that may terminate servers run one at a time, so that if one terminates this
+// server, no other call of the content was running here.
 std::optional<verdict> routed_target::refusalOfContent(const call_request& request) const
 {
     auto standing = standingOf(request);
@@ -101,14 +101,14 @@
         return verdict::notRun(verdict_reason::Poison, poisonMemory);
     }
     if (standing != content_standing::Harmless && isInProgress(request.context.content)) {
-        return verdict::notRun(verdict_reason::Poison, suspectReturn);
+        return verdict::notRun(verdict_reason::Poison, suspectRetryAfter);
     }
     return std::nullopt;
 }
 
 bool routed_target::isInProgress(request_fingerprint content) const
 {
-    return std::any_of(m_arrivals.begin(), m_arrivals.end(), [content](const auto& entry) { return entry.second.request.context.content == content; });
+    return std::any_of(m_arrivals.begin(), m_arrivals.end(), [content](const auto& call) { return call.second.request.context.content == content; });
 }
 
 std::uint64_t routed_target::arrive(call_request request, call_replier replier, time_point now)
@@ -119,34 +119,35 @@
     if (!refusal && request.refuseIfFull && isBetterElsewhere(now)) {
         refusal = verdict::notRun(verdict_reason::NoFreeSlot);
     }
-    // The gate is not told the organisation: each is shed in proportion to what it asks, since
-    // places in the order are drawn by request, and what is beyond a limit never comes here. With
-    // parts for each a gate that sees a few calls of each would refuse those of the large ones.
-    admission_request asking { id, request.context.position, "", request.context.deadline, request.context.requestClass, request.context.depth > 0 };
+    // The gate gets no organisation and so applies no shares. Positions are drawn per request,
+    // so each organisation is shed in proportion to its requests, and requests beyond a quota
+    // never get here. With shares, a gate that sees only a few calls of each organisation would
+    // refuse those of the large ones.
+    admission_request admissionRequest { id, request.context.position, "", request.context.deadline, request.context.requestClass, request.context.depth > 0 };
     m_arrivals.emplace(id, arrival { std::move(request), std::move(replier) });
     if (refusal) {
         refuse(id, *refusal, now);
         return id;
     }
-    auto decision = m_gate.arrive(asking, now);
+    auto decision = m_gate.arrive(admissionRequest, now);
     if (decision.outcome == admission_outcome::Refuse) {
         refuse(id, decision.refusal, now);
     } else if (decision.outcome == admission_outcome::Run) {
         start(id, now);
     }
-    // It may have taken the place of a waiting call, which is to be told.
+    // The call may have evicted a waiting one, which has to be answered.
     startReleased(now);
     return id;
 }
 
-// Whether a call whose sender goes on to other targets is better run there: no slot is free, or
-// the server's machine is slow at this moment, which only the node beside it knows in time.
+// Whether a call whose sender can try other targets should run at one of them: no slot is free
+// here, or the server's machine is slow at the moment, which only this node knows in time.
 bool routed_target::isBetterElsewhere(time_point now)
 {
     return !m_gate.hasFreeSlot(now) || m_pace.isSlow(now);
 }
 
-void routed_target::serverTold(const server_start& start, const server_load& load, time_point now)
+void routed_target::serverReportedLoad(const server_start& start, const server_load& load, time_point now)
 {
     if (!m_balanceByPace || !m_server || m_server->start != start) {
         return;
@@ -161,53 +162,53 @@
 
 void routed_target::start(std::uint64_t arrivalId, time_point now)
 {
-    auto& entry = m_arrivals.at(arrivalId);
-    if (standingOf(entry.request) == content_standing::Poison) {
-        // It has become known while the call waited.
+    auto& call = m_arrivals.at(arrivalId);
+    if (standingOf(call.request) == content_standing::Poison) {
+        // The content became known as poison while the call waited.
         m_gate.cancel(arrivalId, now);
         refuse(arrivalId, verdict::notRun(verdict_reason::Poison, poisonMemory), now);
         return;
     }
-    entry.running = true;
-    entry.server = m_server->start;
-    entry.started = now;
-    m_runOfRequest[entry.request.context.requestId] = arrivalId;
-    m_hooks.run(arrivalId, *m_server, entry.request, m_deadlines.begin(arrivalId, entry.request.context.deadline));
+    call.running = true;
+    call.server = m_server->start;
+    call.started = now;
+    m_runOfRequest[call.request.context.requestId] = arrivalId;
+    m_hooks.run(arrivalId, *m_server, call.request, m_deadlines.begin(arrivalId, call.request.context.deadline));
 }
 
-void routed_target::refuse(std::uint64_t arrivalId, const verdict& why, time_point now)
+void routed_target::refuse(std::uint64_t arrivalId, const verdict& refusalVerdict, time_point now)
 {
-    auto node = m_arrivals.extract(arrivalId);
-    const auto& entry = node.mapped();
+    auto extracted = m_arrivals.extract(arrivalId);
+    const auto& call = extracted.mapped();
     if (m_hooks.observed) {
-        call_observation seen { call_decision::Rejected, entry.request.context, now };
-        seen.outcome = why;
-        seen.inputs.cut = m_gate.cut();
-        m_hooks.observed(seen);
+        call_observation observation { call_decision::Rejected, call.request.context, now };
+        observation.outcome = refusalVerdict;
+        observation.inputs.cut = m_gate.cut();
+        m_hooks.observed(observation);
     }
-    reply(entry, answerWithout(0, 0, why), now);
+    reply(call, answerWithout(0, 0, refusalVerdict), now);
 }
 
 void routed_target::cancel(std::uint64_t arrivalId, time_point now)
 {
-    auto node = m_arrivals.extract(arrivalId);
-    if (!node) {
+    auto extracted = m_arrivals.extract(arrivalId);
+    if (!extracted) {
         return;
     }
-    if (node.mapped().running) {
-        forgetRun(arrivalId, node.mapped());
-        m_lostRuns.cancelled(node.mapped().request.context.content, now);
+    if (extracted.mapped().running) {
+        forgetRun(arrivalId, extracted.mapped());
+        m_lostRuns.cancelled(extracted.mapped().request.context.content, now);
         m_hooks.cancelRun(arrivalId);
     }
     m_gate.cancel(arrivalId, now);
     startReleased(now);
 }
 
-void routed_target::forgetRun(std::uint64_t runId, const arrival& entry)
+void routed_target::forgetRun(std::uint64_t runId, const arrival& call)
 {
     m_deadlines.end(runId);
-    auto found = m_runOfRequest.find(entry.request.context.requestId);
-    // The same request may have come again, by another attempt.
+    auto found = m_runOfRequest.find(call.request.context.requestId);
+    // Another attempt of the same request may have replaced the entry.
     if (found != m_runOfRequest.end() && found->second == runId) {
         m_runOfRequest.erase(found);
     }
@@ -215,47 +216,47 @@
 
 void routed_target::serverAnswered(std::uint64_t runId, const call_answer& answer, time_point now)
 {
-    auto node = m_arrivals.extract(runId);
-    if (!node) {
+    auto extracted = m_arrivals.extract(runId);
+    if (!extracted) {
         return;
     }
-    const auto& entry = node.mapped();
-    forgetRun(runId, entry);
+    const auto& call = extracted.mapped();
+    forgetRun(runId, call);
     if (answer.outcome.run == execution::Ran) {
-        if (answer.status < leastServerError) {
-            noteServed(entry.request);
-            notePace(entry, now);
+        if (answer.status < minServerErrorStatus) {
+            recordServed(call.request);
+            recordServiceTime(call, now);
         }
-        m_gate.finish(runId, { std::chrono::duration_cast<std::chrono::microseconds>(now - entry.started), false }, now);
+        m_gate.finish(runId, { std::chrono::duration_cast<std::chrono::microseconds>(now - call.started), false }, now);
     } else {
-        // A server that is never given more than its slots, and refuses all the same,
-        // refuses for a reason of its own: fewer calls would not make it refuse less.
+        // The server never gets more calls than it has slots. If it refuses one all the same,
+        // the reason is not its load, and a lower limit would not reduce its refusals.
         m_gate.cancel(runId, now);
     }
     if (answer.outcome.reason == verdict_reason::AnswerLost) {
-        m_lostRuns.lost(entry.server, entry.request.context.content, now);
+        m_lostRuns.lost(call.server, call.request.context.content, now);
     }
-    reply(entry, answer, now);
+    reply(call, answer, now);
     startReleased(now);
 }
 
-void routed_target::reply(const arrival& entry, call_answer answer, time_point now) const
+void routed_target::reply(const arrival& call, call_answer answer, time_point now) const
 {
-    answer.callId = entry.request.callId;
-    answer.attempt = entry.request.attempt;
+    answer.callId = call.request.callId;
+    answer.attempt = call.request.attempt;
     answer.cut = m_gate.cut();
-    const auto* onward = highest(entry.onwardCuts);
+    const auto* onward = highestMean(call.onwardCuts);
     if (onward && onward->mean() >= answer.cut) {
         answer.cut = onward->mean();
         answer.cost = onward->cost;
-    } else if (entry.running) {
-        answer.cost = { entry.request.service, std::chrono::duration_cast<std::chrono::microseconds>(now - entry.started) };
+    } else if (call.running) {
+        answer.cost = { call.request.service, std::chrono::duration_cast<std::chrono::microseconds>(now - call.started) };
     }
-    answer.zoneCrossings = entry.zoneCrossings;
+    answer.zoneCrossings = call.zoneCrossings;
     answer.inFlight = m_gate.inFlight() + static_cast<std::uint32_t>(m_gate.waiting());
     answer.limit = m_gate.limit();
-    answer.usualTime = m_pace.usualTime(entry.request.context.requestClass, now).value_or(answer.usualTime);
-    entry.replier(answer);
+    answer.usualTime = m_pace.usualTime(call.request.context.requestClass, now).value_or(answer.usualTime);
+    call.replier(answer);
 }
 
 void routed_target::startReleased(time_point now)
@@ -275,8 +276,8 @@
 
 std::optional<parent_run> routed_target::findParent(const std::string& parentId, time_point deadline) const
 {
-    auto named = m_runOfRequest.find(parentId);
-    auto runId = named != m_runOfRequest.end() ? std::optional(named->second) : std::nullopt;
+    auto namedRun = m_runOfRequest.find(parentId);
+    auto runId = namedRun != m_runOfRequest.end() ? std::optional(namedRun->second) : std::nullopt;
     if (parentId.empty()) {
         runId = m_deadlines.find(deadline);
     }
@@ -286,7 +287,7 @@
     return parent_run { *runId, m_arrivals.at(*runId).request.context };
 }
 
-void routed_target::learnOnward(std::uint64_t runId, const onward_report& report)
+void routed_target::recordOnwardCall(std::uint64_t runId, const onward_report& report)
 {
     auto found = m_arrivals.find(runId);
     if (found == m_arrivals.end()) {
@@ -294,69 +295,69 @@
     }
     found->second.zoneCrossings += report.zoneCrossings;
     auto& cuts = found->second.onwardCuts;
-    auto met = std::find_if(cuts.begin(), cuts.end(), [&report](const met_cut& each) { return each.service == report.service; });
-    if (met == cuts.end()) {
-        met = cuts.insert(cuts.end(), met_cut { report.service });
+    auto serviceCut = std::find_if(cuts.begin(), cuts.end(), [&report](const service_cut& candidate) { return candidate.service == report.service; });
+    if (serviceCut == cuts.end()) {
+        serviceCut = cuts.insert(cuts.end(), service_cut { report.service });
     }
-    met->sum += report.cut;
-    ++met->calls;
+    serviceCut->sum += report.cut;
+    ++serviceCut->calls;
     if (!report.cost.service.empty()) {
-        met->cost.service = report.cost.service;
-        met->cost.slotTime += report.cost.slotTime;
+        serviceCut->cost.service = report.cost.service;
+        serviceCut->cost.slotTime += report.cost.slotTime;
     }
 }
 
-const routed_target::met_cut* routed_target::highest(const std::vector<met_cut>& cuts)
+const routed_target::service_cut* routed_target::highestMean(const std::vector<service_cut>& cuts)
 {
-    auto lower = [](const met_cut& a, const met_cut& b) { return a.mean() < b.mean(); };
+    auto lower = [](const service_cut& a, const service_cut& b) { return a.mean() < b.mean(); };
     auto found = std::max_element(cuts.begin(), cuts.end(), lower);
     return found == cuts.end() ? nullptr : &*found;
 }
 
-std::vector<run_in_progress> routed_target::runsInProgress(time_point now, std::size_t most) const
+std::vector<run_in_progress> routed_target::runsInProgress(time_point now, std::size_t maxCount) const
 {
     std::vector<run_in_progress> result;
-    for (const auto& [id, entry] : m_arrivals) {
-        if (!entry.running || result.size() >= most) {
+    for (const auto& [id, call] : m_arrivals) {
+        if (!call.running || result.size() >= maxCount) {
             continue;
         }
-        const auto& context = entry.request.context;
-        result.push_back({ context.requestId, context.requestClass, entry.server.instanceId, std::chrono::duration_cast<std::chrono::microseconds>(now - entry.started) });
+        const auto& context = call.request.context;
+        result.push_back({ context.requestId, context.requestClass, call.server.instanceId, std::chrono::duration_cast<std::chrono::microseconds>(now - call.started) });
     }
     return result;
 }
 
-void routed_target::serverAsked(server_presence presence, time_point now)
+void routed_target::serverChecked(server_presence presence, time_point now)
 {
-    noteServerEnd(m_lostRuns.asked(presence, now));
+    reportServerEnd(m_lostRuns.asked(presence, now));
 }
 
-// What the server has served a moment before did not end it: without this two servers that
-// are lost together would make poison of whatever is asked for all the time.
-void routed_target::noteServerEnd(std::optional<server_end> end)
+// A content that the server answered recently did not terminate it. Without this exception, two
+// servers that are lost together would turn every frequently requested content into poison.
+void routed_target::reportServerEnd(std::optional<server_end> end)
 {
     if (!end || !m_hooks.serverEnded) {
         return;
     }
     auto& suspects = end->running;
-    auto wasServed = [this](request_fingerprint content) { return m_served.has(content); };
+    auto wasServed = [this](request_fingerprint content) { return m_servedContents.has(content); };
     suspects.erase(std::remove_if(suspects.begin(), suspects.end(), wasServed), suspects.end());
     m_hooks.serverEnded(*end);
 }
 
-// A server that has just started is slow for a time that it tells: that is not its usual pace.
-void routed_target::notePace(const arrival& entry, time_point now)
+// Runs that started during the announced warm-up are not counted: the server is slower then.
+void routed_target::recordServiceTime(const arrival& call, time_point now)
 {
-    if (entry.started < m_warmFrom) {
+    if (call.started < m_warmupEnd) {
         return;
     }
-    m_pace.ran(entry.request.context.requestClass, std::chrono::duration_cast<std::chrono::microseconds>(now - entry.started));
+    m_pace.ran(call.request.context.requestClass, std::chrono::duration_cast<std::chrono::microseconds>(now - call.started));
 }
 
-void routed_target::noteServed(const call_request& request)
+void routed_target::recordServed(const call_request& request)
 {
     auto content = request.context.content;
-    m_served.add(content);
+    m_servedContents.add(content);
     if (m_hooks.contentServed) {
         m_hooks.contentServed(content);
     }
@@ -364,8 +365,8 @@
 
 void routed_target::tick(time_point now)
 {
-    if (m_hooks.askServer && m_lostRuns.takeDue(now)) {
-        m_hooks.askServer();
+    if (m_hooks.checkServer && m_lostRuns.takeDue(now)) {
+        m_hooks.checkServer();
     }
     startReleased(now);
 }
--- a/Source/node/routed_target.h
+++ b/Source/node/routed_target.h
@@ -20,19 +20,20 @@
 namespace vanillashunt {
 
 struct target_hooks {
-    // Sends the request to the server, which is to stop at the deadline.
+    // Sends the request to the backend server, with the deadline by which it has to finish.
     std::function<void(std::uint64_t runId, const server_report&, const call_request&, std::chrono::steady_clock::time_point deadline)> run;
     std::function<void(std::uint64_t runId)> cancelRun;
-    // The server has started again: connections that are kept to it are over.
-    std::function<void()> serverStartedAgain;
-    // Asks whether the server is there; the answer comes back by serverAsked().
-    std::function<void()> askServer;
-    // The server has ended while it had requests.
+    // The backend server restarted: idle connections to it are no longer usable.
+    std::function<void()> serverRestarted;
+    // Checks whether the backend server is still running; the result goes to serverChecked().
+    std::function<void()> checkServer;
+    // The backend server terminated while it had requests.
     std::function<void(const server_end&)> serverEnded;
-    // What servers' ends say of the content; without the hook every one is harmless.
+    // How requests of this content are treated, depending on how many servers terminated while
+    // running them. Without the hook every content is harmless.
     std::function<content_standing(request_fingerprint)> standingOf;
-    // The server has served a request of the content. Its own failures don't count: it may give
-    // up at the deadline what would have ended it a moment later.
+    // The backend server answered a request of this content. Server errors don't count: a server
+    // that gives up at the deadline might have been terminated by the request a moment later.
     std::function<void(request_fingerprint)> contentServed;
     std::function<std::uint64_t()> random;
     call_observer observed;
@@ -40,13 +41,14 @@
 
 using call_replier = std::function<void(const call_answer&)>;
 
-// A call that the own server makes while it runs another.
+// The run at the local backend server that makes an onward call, that is, a call on behalf of
+// the request that it runs.
 struct parent_run {
     std::uint64_t runId = 0;
     request_context context;
 };
 
-// A call running at the own server.
+// A call running at the local backend server.
 struct run_in_progress {
     std::string requestId;
     std::string requestClass;
@@ -54,73 +56,76 @@
     std::chrono::microseconds elapsed { 0 };
 };
 
-// What came back from a call that the own server made.
+// The result of an onward call of the local backend server.
 struct onward_report {
     std::string service;
-    // The cut that the call has met there or below, and what it took of that service.
+    // The highest cut at the called service and those below it, and what the call used of the
+    // service that has this cut.
     shedding_position cut = 0;
     narrowest_cost cost {};
-    // The call itself, if it went to another availability zone, and those below it.
+    // Calls to another availability zone: this one, if it is such a call, and those below it.
     std::uint32_t zoneCrossings = 0;
 };
 
-// The calls that are to run at the server beside this node. Everything that
-// reaches the server passes here, so that what is said here of a call, that it
-// has not run and never will, is certain.
+// Admits calls to the local backend server and follows them until they are answered. Every
+// request to that server passes through this class, so a call that it reports as not run
+// has not run and never will.
 class routed_target {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // Whether what the server tells of its speed counts: calls then go elsewhere while it is slow.
+    // With balanceByPace, calls that can run at another target are refused while the backend
+    // server reports that it is slow.
     explicit routed_target(target_hooks, bool balanceByPace = true);
 
-    // The server that is there now, and whether it takes new work. Where the same one has
-    // started again, its runs are over, and are answered as such.
+    // Sets the current backend server and whether it takes new work. If it is a later start of
+    // the same instance, the runs of the previous start are answered as lost.
     void setServer(const std::optional<server_report>&, bool takesWork, time_point now);
 
-    // The node itself leaves: nothing new is begun.
+    // The node stops: no further call is started.
     void setStopping(time_point now);
 
-    // Returns the id by which the call may be cancelled.
+    // Returns the id to pass to cancel(). The replier is called exactly once unless the call is
+    // cancelled, possibly before arrive() returns.
     std::uint64_t arrive(call_request, call_replier, time_point now);
 
-    // Whoever sent the call does not want it any more.
+    // The sender no longer waits for the call.
     void cancel(std::uint64_t arrivalId, time_point now);
 
     void serverAnswered(std::uint64_t runId, const call_answer&, time_point now);
 
-    // That start of the server told its load.
-    void serverTold(const server_start&, const server_load&, time_point now);
+    // This start of the backend server reported its load; ignored if it is not the current one.
+    void serverReportedLoad(const server_start&, const server_load&, time_point now);
 
-    // Whether the server is there, which some lost answers had put in doubt.
-    void serverAsked(server_presence, time_point now);
+    // The result of the check that target_hooks::checkServer started.
+    void serverChecked(server_presence, time_point now);
 
     void tick(time_point now);
 
-    // The run that made a call: the one of that request, or, where the call names
-    // none, the one that ends with it. Nothing for a request of anyone else.
+    // Finds the run that made a call: the run of the request named parentId or, if that is
+    // empty, the run that has this deadline. Returns nothing if no run here made the call.
     std::optional<parent_run> findParent(const std::string& parentId, time_point deadline) const;
 
-    // A call that the run made has ended.
-    void learnOnward(std::uint64_t runId, const onward_report&);
+    // An onward call of the run ended. Ignored for a run that is not in progress.
+    void recordOnwardCall(std::uint64_t runId, const onward_report&);
 
     std::size_t inProgress() const { return m_arrivals.size(); }
-    // The calls running at the server, at most the given number of them, in no particular order.
-    std::vector<run_in_progress> runsInProgress(time_point now, std::size_t most) const;
-    // Whether lost answers have put in doubt that the server is there.
-    bool doubtsServer() const { return m_lostRuns.inDoubt(); }
+    // Calls running at the backend server, no more than maxCount, in no particular order.
+    std::vector<run_in_progress> runsInProgress(time_point now, std::size_t maxCount) const;
+    // Whether lost answers make it doubtful that the backend server is still running.
+    bool isServerInDoubt() const { return m_lostRuns.inDoubt(); }
     const admission_gate& gate() const { return m_gate; }
     const server_pace& pace() const { return m_pace; }
 
 private:
-    // The cuts that a run's own calls have met at the servers of one service. The
-    // servers differ, and a request is to be judged by the service and not by its
-    // worst server: the mean counts.
-    struct met_cut {
+    // The cuts that a run's onward calls met at the servers of one service. The mean is used,
+    // because servers differ and a request is judged by the service rather than by its worst
+    // server.
+    struct service_cut {
         std::string service;
         std::uint64_t sum = 0;
         std::uint32_t calls = 0;
-        // Of all of them together.
+        // The sum over these calls.
         narrowest_cost cost {};
 
         shedding_position mean() const { return static_cast<shedding_position>(sum / calls); }
@@ -130,17 +135,17 @@
         call_request request;
         call_replier replier;
         bool running = false;
-        // With a run: the start of the server that has it.
+        // If running: the start of the backend server that runs the call.
         server_start server {};
         time_point started {};
-        std::vector<met_cut> onwardCuts {};
+        std::vector<service_cut> onwardCuts {};
         std::uint32_t zoneCrossings = 0;
     };
 
     void endRuns(time_point now);
-    void noteServerEnd(std::optional<server_end>);
-    void notePace(const arrival&, time_point now);
-    void noteServed(const call_request&);
+    void reportServerEnd(std::optional<server_end>);
+    void recordServiceTime(const arrival&, time_point now);
+    void recordServed(const call_request&);
     std::optional<verdict> refusalBeforeGate(const call_request&) const;
     void start(std::uint64_t arrivalId, time_point now);
     content_standing standingOf(const call_request&) const;
@@ -149,7 +154,7 @@
     std::optional<verdict> refusalOfContent(const call_request&) const;
     void refuse(std::uint64_t arrivalId, const verdict&, time_point now);
     void reply(const arrival&, call_answer, time_point now) const;
-    static const met_cut* highest(const std::vector<met_cut>&);
+    static const service_cut* highestMean(const std::vector<service_cut>&);
     void startReleased(time_point now);
     void forgetRun(std::uint64_t runId, const arrival&);
 
@@ -157,16 +162,16 @@
     bool m_balanceByPace;
     admission_gate m_gate;
     server_pace m_pace;
-    // From when the server is at its usual speed.
-    time_point m_warmFrom;
+    // When the backend server has warmed up and runs at its usual speed.
+    time_point m_warmupEnd;
     std::optional<server_report> m_server;
     bool m_takesWork = false;
     bool m_stopping = false;
     std::unordered_map<std::uint64_t, arrival> m_arrivals;
     run_deadlines m_deadlines;
     lost_runs m_lostRuns;
-    recent_contents m_served;
-    // By the request's id.
+    recent_contents m_servedContents;
+    // Id of the run, by request id.
     std::unordered_map<std::string, std::uint64_t> m_runOfRequest;
 };
 
--- a/Tests/OrganisationKeys/keys_at_entry_test.cpp
+++ b/Tests/OrganisationKeys/keys_at_entry_test.cpp
@@ -22,10 +22,10 @@
         return result;
     }
 
-    // One entry and one server, and two organisations of which one has a priority.
-    class keyed_world {
+    // An entry with one target and two organisations, "first" with the higher priority.
+    class keyed_entry {
     public:
-        keyed_world()
+        keyed_entry()
             : m_entry({ { "a", "" }, "threads", {} }, hooks(), {})
         {
             configuration->version = 1;
@@ -61,8 +61,8 @@
         time_point now { std::chrono::seconds(100) };
         std::shared_ptr<route_configuration> configuration = std::make_shared<route_configuration>();
         std::vector<call_request> sent;
-        // The run that is taken for the maker of whatever asks for one.
-        std::optional<parent_run> running;
+        // The parent run of every request for which one is looked up.
+        std::optional<parent_run> parentRun;
 
     private:
         entry_hooks hooks()
@@ -71,8 +71,8 @@
             result.send = [this](std::uint64_t, const member&, const call_request& request) { sent.push_back(request); };
             result.cancelAttempt = [](std::uint64_t) {};
             result.attemptEnded = [](std::uint64_t, bool) {};
-            result.findParent = [this](const entry_request&) { return running; };
-            result.onwardEnded = [](std::uint64_t, const onward_report&) {};
+            result.findParent = [this](const entry_request&) { return parentRun; };
+            result.onwardCallEnded = [](std::uint64_t, const onward_report&) {};
             result.random = [this] { return m_random += 0x9e3779b97f4a7c15U; };
             return result;
         }
@@ -83,135 +83,135 @@
 
 }
 
-TEST(OrganisationKeys, TellWhoAsks)
+TEST(OrganisationKeys, IdentifyTheOrganisation)
 {
-    keyed_world world;
-    world.configure();
-    EXPECT_EQ(world.arrive("/read/1", "key-large"), 0U);
-    EXPECT_EQ(world.arrive("/read/1", "key-old"), 0U);
-    EXPECT_EQ(world.arrive("/read/1", "key-first"), 0U);
-    ASSERT_EQ(world.sent.size(), 3U);
-    EXPECT_EQ(world.sent[0].context.organisation, "large");
-    EXPECT_EQ(world.sent[1].context.organisation, "large");
-    EXPECT_EQ(world.sent[2].context.organisation, "first");
+    keyed_entry harness;
+    harness.configure();
+    EXPECT_EQ(harness.arrive("/read/1", "key-large"), 0U);
+    EXPECT_EQ(harness.arrive("/read/1", "key-old"), 0U);
+    EXPECT_EQ(harness.arrive("/read/1", "key-first"), 0U);
+    ASSERT_EQ(harness.sent.size(), 3U);
+    EXPECT_EQ(harness.sent[0].context.organisation, "large");
+    EXPECT_EQ(harness.sent[1].context.organisation, "large");
+    EXPECT_EQ(harness.sent[2].context.organisation, "first");
 }
 
-TEST(OrganisationKeys, ThatNobodyHasAreRefused)
+TEST(OrganisationKeys, AreRefusedIfUnknown)
 {
-    keyed_world world;
-    world.configure();
-    EXPECT_EQ(world.arrive("/read/1", "key-other"), 401U);
-    EXPECT_EQ(world.arrive("/read/1", ""), 401U);
-    EXPECT_EQ(world.arrive("/read/1", std::nullopt), 401U);
-    EXPECT_TRUE(world.sent.empty());
+    keyed_entry harness;
+    harness.configure();
+    EXPECT_EQ(harness.arrive("/read/1", "key-other"), 401U);
+    EXPECT_EQ(harness.arrive("/read/1", ""), 401U);
+    EXPECT_EQ(harness.arrive("/read/1", std::nullopt), 401U);
+    EXPECT_TRUE(harness.sent.empty());
 }
 
-TEST(OrganisationKeys, AreNotJudgedBeforeAnyAreKnown)
+TEST(OrganisationKeys, AreNotCheckedBeforeAConfigurationIsKnown)
 {
-    keyed_world world;
-    EXPECT_EQ(world.arrive("/read/1", "key-large"), 503U);
+    keyed_entry harness;
+    EXPECT_EQ(harness.arrive("/read/1", "key-large"), 503U);
 }
 
-TEST(OrganisationKeys, AreNotNeededWhereTheOperatorTellsNobodyApart)
+TEST(OrganisationKeys, AreNotNeededWithoutOrganisations)
 {
-    keyed_world world;
-    world.configuration->organisations.clear();
-    world.configuration->asksForKeys = false;
-    world.configure();
-    EXPECT_EQ(world.arrive("/read/1", std::nullopt), 0U);
-    EXPECT_EQ(world.sent.at(0).context.organisation, "");
+    keyed_entry harness;
+    harness.configuration->organisations.clear();
+    harness.configuration->asksForKeys = false;
+    harness.configure();
+    EXPECT_EQ(harness.arrive("/read/1", std::nullopt), 0U);
+    EXPECT_EQ(harness.sent.at(0).context.organisation, "");
 }
 
 TEST(OrganisationKeys, AreNotNeededOnPublicRoutes)
 {
-    keyed_world world;
-    world.configure();
-    EXPECT_EQ(world.arrive("/open/1", std::nullopt), 0U);
-    EXPECT_EQ(world.arrive("/open/1", "key-other"), 0U);
-    EXPECT_EQ(world.arrive("/open/1", "key-first"), 0U);
-    EXPECT_EQ(world.sent.at(0).context.organisation, "");
-    EXPECT_EQ(world.sent.at(1).context.organisation, "");
-    EXPECT_EQ(world.sent.at(2).context.organisation, "first");
+    keyed_entry harness;
+    harness.configure();
+    EXPECT_EQ(harness.arrive("/open/1", std::nullopt), 0U);
+    EXPECT_EQ(harness.arrive("/open/1", "key-other"), 0U);
+    EXPECT_EQ(harness.arrive("/open/1", "key-first"), 0U);
+    EXPECT_EQ(harness.sent.at(0).context.organisation, "");
+    EXPECT_EQ(harness.sent.at(1).context.organisation, "");
+    EXPECT_EQ(harness.sent.at(2).context.organisation, "first");
 }
 
-TEST(OrganisationKeys, GoAndComeWithTheVersion)
+TEST(OrganisationKeys, AreAddedAndRemovedWithTheVersion)
 {
-    keyed_world world;
-    world.configure();
-    world.configuration->version = 2;
-    world.configuration->organisations[0].keys = { "key-new" };
-    world.configure();
-    EXPECT_EQ(world.arrive("/read/1", "key-large"), 401U);
-    EXPECT_EQ(world.arrive("/read/1", "key-new"), 0U);
-    world.configuration->version = 1;
-    world.configuration->organisations[0].keys = { "key-large" };
-    world.configure();
-    EXPECT_EQ(world.arrive("/read/1", "key-large"), 401U);
+    keyed_entry harness;
+    harness.configure();
+    harness.configuration->version = 2;
+    harness.configuration->organisations[0].keys = { "key-new" };
+    harness.configure();
+    EXPECT_EQ(harness.arrive("/read/1", "key-large"), 401U);
+    EXPECT_EQ(harness.arrive("/read/1", "key-new"), 0U);
+    harness.configuration->version = 1;
+    harness.configuration->organisations[0].keys = { "key-large" };
+    harness.configure();
+    EXPECT_EQ(harness.arrive("/read/1", "key-large"), 401U);
 }
 
-// The own server's calls carry no key, and belong to the organisation of their request.
-TEST(OrganisationKeys, AreInheritedByCallsOfTheServer)
+// Onward calls carry no key; they inherit the organisation and position of their parent request.
+TEST(OrganisationKeys, AreNotNeededForOnwardCalls)
 {
-    keyed_world world;
-    world.configure();
+    keyed_entry harness;
+    harness.configure();
     request_context parent;
     parent.organisation = "first";
     parent.position = 9000;
-    world.running = parent_run { 5, parent };
-    EXPECT_EQ(world.arrive("/read/1", std::nullopt, "r1.1", "r1"), 0U);
-    EXPECT_EQ(world.sent.at(0).context.organisation, "first");
-    EXPECT_EQ(world.sent.at(0).context.position, 9000U);
+    harness.parentRun = parent_run { 5, parent };
+    EXPECT_EQ(harness.arrive("/read/1", std::nullopt, "r1.1", "r1"), 0U);
+    EXPECT_EQ(harness.sent.at(0).context.organisation, "first");
+    EXPECT_EQ(harness.sent.at(0).context.position, 9000U);
 }
 
-// A run's deadline is no secret: any client may have the same.
+// A run's deadline is not secret: any client may send a request with the same one.
 TEST(OrganisationKeys, AreNotReplacedByTheDeadlineOfARun)
 {
-    keyed_world world;
-    world.configure();
-    world.running = parent_run { 5, {} };
-    EXPECT_EQ(world.arrive("/read/1", std::nullopt, "r1", ""), 401U);
+    keyed_entry harness;
+    harness.configure();
+    harness.parentRun = parent_run { 5, {} };
+    EXPECT_EQ(harness.arrive("/read/1", std::nullopt, "r1", ""), 401U);
 }
 
-// It came from a run that this node, which has started since, does not know: nobody waits for
-// its answer, and it has not run.
-TEST(OrganisationKeys, OfARequestThatIsNotRunningHereAreUnknown)
+// The call belongs to a run that this node does not know because it has restarted since. Nobody
+// waits for its answer, and it has not run.
+TEST(OrganisationKeys, AreNotReplacedByAnUnknownParentId)
 {
-    keyed_world world;
-    world.configure();
-    EXPECT_EQ(world.arrive("/read/1", std::nullopt, "r1.1", "r1"), 503U);
+    keyed_entry harness;
+    harness.configure();
+    EXPECT_EQ(harness.arrive("/read/1", std::nullopt, "r1.1", "r1"), 503U);
 }
 
-// A client cannot give its request the place of one that runs.
-TEST(OrganisationKeys, MakeAWholeRequestWhateverItsId)
+// A client cannot give its request the organisation and position of a running one.
+TEST(OrganisationKeys, MarkAClientRequestWhateverItsParentId)
 {
-    keyed_world world;
-    world.configure();
+    keyed_entry harness;
+    harness.configure();
     request_context parent;
     parent.organisation = "first";
     parent.position = 12000;
-    world.running = parent_run { 5, parent };
-    EXPECT_EQ(world.arrive("/read/1", "key-large", "r1.1", "r1"), 0U);
-    EXPECT_EQ(world.sent.at(0).context.organisation, "large");
-    EXPECT_LT(world.sent.at(0).context.position, 12000U);
-    EXPECT_EQ(world.sent.at(0).context.depth, 0U);
+    harness.parentRun = parent_run { 5, parent };
+    EXPECT_EQ(harness.arrive("/read/1", "key-large", "r1.1", "r1"), 0U);
+    EXPECT_EQ(harness.sent.at(0).context.organisation, "large");
+    EXPECT_LT(harness.sent.at(0).context.position, 12000U);
+    EXPECT_EQ(harness.sent.at(0).context.depth, 0U);
 }
 
-// An overload cuts from below: all that the first organisation asks stands above all that the
-// other does, and each one's confirmations above its reads.
-TEST(OrganisationKeys, GoBeforeTheRoutesPriority)
+// Overload sheds the lowest positions first. All requests of the organisation of higher priority
+// are above all of the other one, and within each the confirmations are above the reads.
+TEST(OrganisationKeys, TakePrecedenceOverTheRoutesPriority)
 {
-    keyed_world world;
-    world.configure();
+    keyed_entry harness;
+    harness.configure();
     for (int i = 0; i < 50; ++i) {
         auto id = std::to_string(i);
-        world.sent.clear();
-        world.arrive("/read/1", "key-large", "a" + id);
-        world.arrive("/confirm/1", "key-large", "b" + id);
-        world.arrive("/read/1", "key-first", "c" + id);
-        world.arrive("/confirm/1", "key-first", "d" + id);
-        ASSERT_EQ(world.sent.size(), 4U);
-        for (std::size_t each = 1; each < world.sent.size(); ++each) {
-            EXPECT_LT(world.sent[each - 1].context.position, world.sent[each].context.position);
+        harness.sent.clear();
+        harness.arrive("/read/1", "key-large", "a" + id);
+        harness.arrive("/confirm/1", "key-large", "b" + id);
+        harness.arrive("/read/1", "key-first", "c" + id);
+        harness.arrive("/confirm/1", "key-first", "d" + id);
+        ASSERT_EQ(harness.sent.size(), 4U);
+        for (std::size_t index = 1; index < harness.sent.size(); ++index) {
+            EXPECT_LT(harness.sent[index - 1].context.position, harness.sent[index].context.position);
         }
     }
 }
--- a/Tests/OrganisationKeys/keys_on_the_wire_test.cpp
+++ b/Tests/OrganisationKeys/keys_on_the_wire_test.cpp
@@ -21,12 +21,12 @@
         return R"(,{"type":"tenants","metadata":{"name":")" + name + R"("},"spec":{"api_keys":[)" + keys + "]" + more + "}}";
     }
 
-    // One node with its server, and an organisation that has a key.
+    // One node with a backend server and one organisation with a key.
     struct keyed_node {
         keyed_node()
         {
-            world.putConfiguration(documentOf(1, organisationOf("guests", R"("key-guests")")));
-            node = std::make_unique<routed_node>(routed_node_plan { "desk-1", "desk", world.storeAddress(), world.serverAddress(), {} });
+            platform.putConfiguration(documentOf(1, organisationOf("guests", R"("key-guests")")));
+            node = std::make_unique<routed_node>(routed_node_plan { "desk-1", "desk", platform.storeAddress(), platform.serverAddress(), {} });
             node->report("ready", 1, "desk");
             while (send("", "Api-Key: key-guests\r\n").substr(9, 3) != "200") { }
         }
@@ -39,17 +39,18 @@
             return socket.readToEnd();
         }
 
-        // Status of the answer, and that nothing has run.
+        // Returns the status of the answer; checks that the server ran nothing and that the answer
+        // contains no key.
         std::string refusal(const std::string& fields, const std::string& rest = "\r\n")
         {
-            auto before = world.runs();
+            auto before = platform.runs();
             auto answer = send("", fields, rest);
-            EXPECT_EQ(world.runs(), before) << fields;
+            EXPECT_EQ(platform.runs(), before) << fields;
             EXPECT_EQ(answer.find("key-"), std::string::npos);
             return answer.substr(9, 3);
         }
 
-        platform_world world;
+        platform_world platform;
         std::unique_ptr<routed_node> node;
         int requests = 0;
     };
@@ -62,74 +63,74 @@
 
 }
 
-TEST(OrganisationKeysOnTheWire, BecomeTheOrganisationsName)
+TEST(OrganisationKeysOnTheWire, AreReplacedByTheOrganisationsName)
 {
-    keyed_node world;
-    auto answer = world.send("", "Vanillashunt-Tenant: forged\r\napi-KEY: \t key-guests \r\nvanillashunt-tenant: forged too\r\n");
+    keyed_node harness;
+    auto answer = harness.send("", "Vanillashunt-Tenant: forged\r\napi-KEY: \t key-guests \r\nvanillashunt-tenant: forged too\r\n");
     EXPECT_EQ(answer.substr(9, 3), "200");
-    auto run = world.world.waitForRuns(1);
+    auto run = harness.platform.waitForRuns(1);
     EXPECT_FALSE(holdsKey(run));
     auto isName = [](const http_field& field) { return equalIgnoringCase(field.name, "Vanillashunt-Tenant"); };
     EXPECT_EQ(std::count_if(run.fields.begin(), run.fields.end(), isName), 1);
     EXPECT_EQ(fieldValue(run.fields, "Vanillashunt-Tenant"), "guests");
 }
 
-TEST(OrganisationKeysOnTheWire, AreReadInOneWayOnly)
+TEST(OrganisationKeysOnTheWire, AreAcceptedInOneFormOnly)
 {
-    keyed_node world;
-    EXPECT_EQ(world.refusal(""), "401");
-    EXPECT_EQ(world.refusal("Api-Key: key-Guests\r\n"), "401");
-    EXPECT_EQ(world.refusal("Api-Key: Bearer key-guests\r\n"), "401");
-    EXPECT_EQ(world.refusal("Api-Key: key-guests, key-guests\r\n"), "401");
-    EXPECT_EQ(world.refusal("Api-Key: key-guests\r\nApi-Key: key-guests\r\n"), "400");
-    EXPECT_EQ(world.refusal("Api-Key: key-other\r\nApi-Key: key-guests\r\n"), "400");
-    EXPECT_EQ(world.refusal("Api-Key : key-guests\r\n"), "400");
-    EXPECT_EQ(world.refusal("Api-Key: key-gu\r\n ests\r\n"), "401");
-    EXPECT_EQ(world.refusal("Api-Key:\r\nX-Api-Key: key-guests\r\n"), "401");
-    EXPECT_EQ(world.refusal("Connection: Api-Key\r\nApi-Key: key-guests\r\n"), "401");
+    keyed_node harness;
+    EXPECT_EQ(harness.refusal(""), "401");
+    EXPECT_EQ(harness.refusal("Api-Key: key-Guests\r\n"), "401");
+    EXPECT_EQ(harness.refusal("Api-Key: Bearer key-guests\r\n"), "401");
+    EXPECT_EQ(harness.refusal("Api-Key: key-guests, key-guests\r\n"), "401");
+    EXPECT_EQ(harness.refusal("Api-Key: key-guests\r\nApi-Key: key-guests\r\n"), "400");
+    EXPECT_EQ(harness.refusal("Api-Key: key-other\r\nApi-Key: key-guests\r\n"), "400");
+    EXPECT_EQ(harness.refusal("Api-Key : key-guests\r\n"), "400");
+    EXPECT_EQ(harness.refusal("Api-Key: key-gu\r\n ests\r\n"), "401");
+    EXPECT_EQ(harness.refusal("Api-Key:\r\nX-Api-Key: key-guests\r\n"), "401");
+    EXPECT_EQ(harness.refusal("Connection: Api-Key\r\nApi-Key: key-guests\r\n"), "401");
 }
 
-// What comes behind a body comes too late to say who asks, and reaches no server.
-TEST(OrganisationKeysOnTheWire, InATrailerCountForNothing)
+// A trailer comes too late to identify the sender and is not passed on to a server.
+TEST(OrganisationKeysOnTheWire, AreIgnoredInATrailer)
 {
-    keyed_node world;
+    keyed_node harness;
     const std::string chunks = "\r\n3\r\nabc\r\n0\r\nApi-Key: key-guests\r\nVanillashunt-Tenant: forged\r\n\r\n";
-    EXPECT_EQ(world.refusal("Transfer-Encoding: chunked\r\nTrailer: Api-Key\r\n", chunks), "401");
-    auto answer = world.send("", "Transfer-Encoding: chunked\r\nApi-Key: key-guests\r\n", chunks);
+    EXPECT_EQ(harness.refusal("Transfer-Encoding: chunked\r\nTrailer: Api-Key\r\n", chunks), "401");
+    auto answer = harness.send("", "Transfer-Encoding: chunked\r\nApi-Key: key-guests\r\n", chunks);
     EXPECT_EQ(answer.substr(9, 3), "200");
-    auto run = world.world.waitForRuns(1);
+    auto run = harness.platform.waitForRuns(1);
     EXPECT_FALSE(holdsKey(run));
     EXPECT_EQ(fieldValue(run.fields, "Vanillashunt-Tenant"), "guests");
 }
 
-// Each request is judged by its own key, also behind another's on one connection.
-TEST(OrganisationKeysOnTheWire, AreOfOneRequestOnly)
+// Each request is judged by its own key, also if several requests are pipelined on one connection.
+TEST(OrganisationKeysOnTheWire, ApplyToOneRequestOnly)
 {
-    keyed_node world;
-    auto before = world.world.runs();
-    auto socket = raw_socket::connectTo(world.node->port("caller"));
+    keyed_node harness;
+    auto before = harness.platform.runs();
+    auto socket = raw_socket::connectTo(harness.node->port("caller"));
     const std::string head = "GET /x/1 HTTP/1.1\r\nHost: a.example\r\nVanillashunt-Deadline-Ms: 20000\r\nVanillashunt-Request-Id: ";
     socket.send(head + "p1\r\nApi-Key: key-guests\r\n\r\n" + head + "p2\r\n\r\n" + head + "p3\r\nApi-Key: key-guests\r\nConnection: close\r\n\r\n");
     auto answers = socket.readToEnd();
     EXPECT_NE(answers.find("HTTP/1.1 401"), std::string::npos);
-    EXPECT_EQ(world.world.runs(), before + 2);
+    EXPECT_EQ(harness.platform.runs(), before + 2);
 }
 
-TEST(OrganisationKeysOnTheWire, OfATargetWithAHostAreNoWayAround)
+TEST(OrganisationKeysOnTheWire, AreNeededForAnAbsoluteTarget)
 {
-    keyed_node world;
-    auto before = world.world.runs();
-    EXPECT_NE(world.send("http://a.example/x/1", "").substr(9, 3), "200");
-    EXPECT_EQ(world.world.runs(), before);
+    keyed_node harness;
+    auto before = harness.platform.runs();
+    EXPECT_NE(harness.send("http://a.example/x/1", "").substr(9, 3), "200");
+    EXPECT_EQ(harness.platform.runs(), before);
 }
 
-// A key that is taken away or added counts by the next version, without another start.
+// Keys are added and removed with the next version of the configuration, without a restart.
 TEST(OrganisationKeysOnTheWire, ChangeWithTheVersion)
 {
-    keyed_node world;
-    world.world.putConfiguration(documentOf(2, organisationOf("guests", R"("key-new")")));
-    while (world.send("", "Api-Key: key-new\r\n").substr(9, 3) != "200") { }
-    EXPECT_EQ(world.refusal("Api-Key: key-guests\r\n"), "401");
+    keyed_node harness;
+    harness.platform.putConfiguration(documentOf(2, organisationOf("guests", R"("key-new")")));
+    while (harness.send("", "Api-Key: key-new\r\n").substr(9, 3) != "200") { }
+    EXPECT_EQ(harness.refusal("Api-Key: key-guests\r\n"), "401");
 }
 
 }
--- a/Tests/RoutedEntry/routed_entry_test.cpp
+++ b/Tests/RoutedEntry/routed_entry_test.cpp
@@ -17,30 +17,30 @@
         call_request request;
     };
 
-    // One entry, four servers, and everything that it sent and answered.
-    // What the log is told of the end of a request.
+    // What the observer is told when a request ends.
     struct finished_request {
         shedding_position position = 0;
         verdict outcome;
         decision_inputs inputs;
     };
 
-    class entry_world {
+    // An entry with four targets. Records everything that the entry sends and answers.
+    class entry_harness {
     public:
-        explicit entry_world(bool idempotent = true, double slack = 48)
+        explicit entry_harness(bool idempotent = true, double slack = 48)
             : m_entry(settings(slack), hooks(), {})
         {
             configuration->version = 7;
-            route each;
-            each.name = "notice-read";
-            each.host = "a.example";
-            each.prefix = "/x/";
-            each.destinations = { { "notices", 1 } };
-            each.idempotent = idempotent;
-            each.timeout = milliseconds(800);
-            each.maxAttempts = 2;
-            each.priority = 2;
-            configuration->routes = { each };
+            route onlyRoute;
+            onlyRoute.name = "notice-read";
+            onlyRoute.host = "a.example";
+            onlyRoute.prefix = "/x/";
+            onlyRoute.destinations = { { "notices", 1 } };
+            onlyRoute.idempotent = idempotent;
+            onlyRoute.timeout = milliseconds(800);
+            onlyRoute.maxAttempts = 2;
+            onlyRoute.priority = 2;
+            configuration->routes = { onlyRoute };
             auto members = std::make_shared<std::vector<member>>();
             for (std::uint64_t id = 1; id <= 4; ++id) {
                 member server;
@@ -65,8 +65,8 @@
                 std::move(request), [this](entry_answer answer) { answers.push_back(std::move(answer)); }, now);
         }
 
-        // The target whose turn it is says that calls fill its limit.
-        void answerFull(const verdict& outcome, std::uint32_t status = 0)
+        // Answers the latest attempt and reports that the target is at its limit.
+        void answerFromFullTarget(const verdict& outcome, std::uint32_t status = 0)
         {
             call_answer result;
             result.outcome = outcome;
@@ -76,6 +76,7 @@
             m_entry.attemptAnswered(sent.back().id, result, now);
         }
 
+        // Answers the latest attempt; the target reports free slots.
         void answer(const verdict& outcome, std::uint32_t status = 0, shedding_position cut = 0)
         {
             call_answer result;
@@ -92,21 +93,21 @@
         std::shared_ptr<route_configuration> configuration = std::make_shared<route_configuration>();
         std::vector<sent_attempt> sent;
         std::vector<std::uint64_t> cancelled;
-        std::function<void()> whenCancelled;
+        std::function<void()> onCancelled;
         std::vector<entry_answer> answers;
         std::vector<shedding_position> onwardCuts;
         std::vector<finished_request> finished;
-        // Who makes the calls that arrive.
+        // The parent run of the requests that arrive; nothing for client requests.
         std::optional<parent_run> parent;
-        // What servers have ended under.
-        std::vector<request_fingerprint> poison;
+        // Contents that have the standing below; all others are harmless.
+        std::vector<request_fingerprint> listedContents;
         content_standing standing = content_standing::Poison;
 
     private:
         static entry_settings settings(double slack)
         {
             entry_settings result;
-            result.place = { "a", "" };
+            result.location = { "a", "" };
             result.ownService = "threads";
             result.retries = { 0.2, slack, milliseconds(10000) };
             return result;
@@ -118,21 +119,21 @@
             result.send = [this](std::uint64_t id, const member& target, const call_request& request) { sent.push_back({ id, target, request }); };
             result.cancelAttempt = [this](std::uint64_t id) {
                 cancelled.push_back(id);
-                if (whenCancelled) {
-                    whenCancelled();
+                if (onCancelled) {
+                    onCancelled();
                 }
             };
             result.attemptEnded = [](std::uint64_t, bool) {};
-            result.observed = [this](const call_observation& seen) {
-                if (seen.decision == call_decision::Finished) {
-                    finished.push_back({ seen.context.position, seen.outcome, seen.inputs });
+            result.observed = [this](const call_observation& observation) {
+                if (observation.decision == call_decision::Finished) {
+                    finished.push_back({ observation.context.position, observation.outcome, observation.inputs });
                 }
             };
             result.standingOf = [this](request_fingerprint content) {
-                return std::count(poison.begin(), poison.end(), content) != 0 ? standing : content_standing::Harmless;
+                return std::count(listedContents.begin(), listedContents.end(), content) != 0 ? standing : content_standing::Harmless;
             };
             result.findParent = [this](const entry_request&) { return parent; };
-            result.onwardEnded = [this](std::uint64_t, const onward_report& report) { onwardCuts.push_back(report.cut); };
+            result.onwardCallEnded = [this](std::uint64_t, const onward_report& report) { onwardCuts.push_back(report.cut); };
             result.random = [this] { return m_random += 0x9e3779b97f4a7c15U; };
             return result;
         }
@@ -144,292 +145,292 @@
 
 }
 
-TEST(RoutedEntry, KnowsNoRouteBeforeItKnowsAConfiguration)
+TEST(RoutedEntry, RefusesRequestsWithoutAConfigurationOrRoute)
 {
-    entry_world world;
-    world.arrive();
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 503U);
-    EXPECT_GT(world.answers.back().outcome.retryAfter.count(), 0);
-    world.configure();
-    world.arrive("/y/1");
-    EXPECT_EQ(world.answers.back().refusalStatus, 404U);
-    EXPECT_TRUE(world.sent.empty());
+    entry_harness harness;
+    harness.arrive();
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
+    EXPECT_GT(harness.answers.back().outcome.retryAfter.count(), 0);
+    harness.configure();
+    harness.arrive("/y/1");
+    EXPECT_EQ(harness.answers.back().refusalStatus, 404U);
+    EXPECT_TRUE(harness.sent.empty());
 }
 
-// Runs at the own server need their onward calls to finish, so these are accepted during a stop.
-TEST(RoutedEntry, TakesOnlyCallsOfItsOwnServerWhileItStops)
+// Runs at the local backend server need their onward calls to finish, so these are accepted during a stop.
+TEST(RoutedEntry, AcceptsOnlyOnwardCallsDuringAStop)
 {
-    entry_world world;
-    world.configure();
-    world.entry().setIntake(call_intake::OnwardCalls);
-    world.arrive();
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 503U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::NotRun);
-    EXPECT_GT(world.answers.back().outcome.retryAfter.count(), 0);
-    world.parent = parent_run { 3, {} };
-    world.arrive();
-    EXPECT_EQ(world.sent.size(), 1U);
+    entry_harness harness;
+    harness.configure();
+    harness.entry().setIntake(call_intake::OnwardCalls);
+    harness.arrive();
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::NotRun);
+    EXPECT_GT(harness.answers.back().outcome.retryAfter.count(), 0);
+    harness.parent = parent_run { 3, {} };
+    harness.arrive();
+    EXPECT_EQ(harness.sent.size(), 1U);
 }
 
 // Guards against reporting a request as not run when it was already sent to a server.
-TEST(RoutedEntry, AnswersEveryRequestAtTheEndOfItsStop)
+TEST(RoutedEntry, AnswersEveryRequestAtTheEndOfAStop)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.arrive();
-    world.entry().endAll(world.now);
-    ASSERT_EQ(world.answers.size(), 2U);
-    for (const auto& answer : world.answers) {
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.arrive();
+    harness.entry().endAll(harness.now);
+    ASSERT_EQ(harness.answers.size(), 2U);
+    for (const auto& answer : harness.answers) {
         EXPECT_EQ(answer.refusalStatus, 502U);
         EXPECT_EQ(answer.outcome.run, execution::MayHaveRun);
     }
-    EXPECT_EQ(world.cancelled.size(), 2U);
-    world.parent = parent_run { 3, {} };
-    world.arrive();
-    EXPECT_EQ(world.answers.back().refusalStatus, 503U);
-    EXPECT_EQ(world.sent.size(), 2U);
+    EXPECT_EQ(harness.cancelled.size(), 2U);
+    harness.parent = parent_run { 3, {} };
+    harness.arrive();
+    EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
+    EXPECT_EQ(harness.sent.size(), 2U);
 }
 
-TEST(RoutedEntry, NeverGoesBackToAnOlderVersion)
+TEST(RoutedEntry, IgnoresAnOlderConfiguration)
 {
-    entry_world world;
-    world.configure();
+    entry_harness harness;
+    harness.configure();
     auto older = std::make_shared<route_configuration>();
     older->version = 6;
-    world.entry().setConfiguration(older);
-    EXPECT_EQ(world.entry().version(), 7);
-    world.arrive();
-    EXPECT_EQ(world.sent.size(), 1U);
+    harness.entry().setConfiguration(older);
+    EXPECT_EQ(harness.entry().version(), 7);
+    harness.arrive();
+    EXPECT_EQ(harness.sent.size(), 1U);
 }
 
-TEST(RoutedEntry, TellsTheServiceBesideWhichTheRequestBegan)
+TEST(RoutedEntry, NamesTheLocalServiceAsTheCaller)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    EXPECT_EQ(world.sent.back().request.callerService, "threads");
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    EXPECT_EQ(harness.sent.back().request.callerService, "threads");
 }
 
-// A refusal that reached no server costs nothing, and goes to another one at once.
-TEST(RoutedEntry, AsksAnotherNodeWhereOneRefuses)
+// A refusal that reached no server consumes no retry allowance; another target is tried at once.
+TEST(RoutedEntry, TriesAnotherNodeAfterARefusal)
 {
-    entry_world world(false, 0);
-    world.configure();
-    world.arrive();
-    world.answer(verdict::notRun(verdict_reason::Overload, milliseconds(300)));
-    ASSERT_EQ(world.sent.size(), 2U);
-    EXPECT_NE(world.sent[0].target.id, world.sent[1].target.id);
-    world.answer(verdict::notRun(verdict_reason::Overload, milliseconds(300)));
-    world.answer(verdict::notRun(verdict_reason::Overload, milliseconds(300)));
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 503U);
-    EXPECT_EQ(world.answers.back().outcome.retryAfter, milliseconds(300));
+    entry_harness harness(false, 0);
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::notRun(verdict_reason::Overload, milliseconds(300)));
+    ASSERT_EQ(harness.sent.size(), 2U);
+    EXPECT_NE(harness.sent[0].target.id, harness.sent[1].target.id);
+    harness.answer(verdict::notRun(verdict_reason::Overload, milliseconds(300)));
+    harness.answer(verdict::notRun(verdict_reason::Overload, milliseconds(300)));
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
+    EXPECT_EQ(harness.answers.back().outcome.retryAfter, milliseconds(300));
 }
 
-TEST(RoutedEntry, NeverRepeatsWhatMayHaveRunAndMayNotRunTwice)
+TEST(RoutedEntry, NeverRetriesANonIdempotentRequestThatMayHaveRun)
 {
-    entry_world world(false);
-    world.configure();
-    world.arrive();
-    world.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    EXPECT_EQ(world.sent.size(), 1U);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 502U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::MayHaveRun);
+    entry_harness harness(false);
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    EXPECT_EQ(harness.sent.size(), 1U);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 502U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::MayHaveRun);
 }
 
-TEST(RoutedEntry, RepeatsAnIdempotentRequestWithinAttemptsAndAllowance)
+TEST(RoutedEntry, RetriesAnIdempotentRequestWithinAttemptsAndAllowance)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    EXPECT_EQ(world.sent.size(), 2U);
-    world.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    EXPECT_EQ(world.sent.size(), 2U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 502U);
-    entry_world without(true, 0);
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    EXPECT_EQ(harness.sent.size(), 2U);
+    harness.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    EXPECT_EQ(harness.sent.size(), 2U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 502U);
+    entry_harness without(true, 0);
     without.configure();
     without.arrive();
     without.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
     EXPECT_EQ(without.sent.size(), 1U);
 }
 
-TEST(RoutedEntry, HandsOnTheServersOwnFailure)
+TEST(RoutedEntry, ReturnsTheServersError)
 {
-    entry_world world(true, 0);
-    world.configure();
-    world.arrive();
-    world.answer(verdict::answered(), 500);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::Ran);
-    EXPECT_EQ(world.answers.back().answer.status, 500U);
+    entry_harness harness(true, 0);
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::answered(), 500);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::Ran);
+    EXPECT_EQ(harness.answers.back().answer.status, 500U);
 }
 
-TEST(RoutedEntry, AnswersWhenTheRoutesTimeIsOver)
+TEST(RoutedEntry, AnswersAtTheRoutesTimeout)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.now += milliseconds(799);
-    world.entry().tick(world.now);
-    EXPECT_TRUE(world.answers.empty());
-    world.now += milliseconds(1);
-    world.entry().tick(world.now);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 504U);
-    EXPECT_EQ(world.cancelled.size(), 1U);
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.now += milliseconds(799);
+    harness.entry().tick(harness.now);
+    EXPECT_TRUE(harness.answers.empty());
+    harness.now += milliseconds(1);
+    harness.entry().tick(harness.now);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 504U);
+    EXPECT_EQ(harness.cancelled.size(), 1U);
 }
 
-// A server's silence is no reason to end an answer sooner: ending the calls of a
-// silent target broke off requests at which their servers were at work, on 8 of 14 days.
-TEST(RoutedEntry, WaitsForASilentTargetUntilTheTimeIsOver)
+// Guards against ending the calls of a silent target before their deadline. That broke off
+// requests on which servers were still working, on 8 of 14 days.
+TEST(RoutedEntry, WaitsForASilentTargetUntilTheTimeout)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.answer(verdict::answered(), 200);
-    world.arrive();
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::answered(), 200);
+    harness.arrive();
     for (int i = 0; i < 70; ++i) {
-        world.now += milliseconds(10);
-        world.entry().tick(world.now);
+        harness.now += milliseconds(10);
+        harness.entry().tick(harness.now);
     }
-    EXPECT_TRUE(world.cancelled.empty());
+    EXPECT_TRUE(harness.cancelled.empty());
 }
 
-TEST(RoutedEntry, CancelsWhatItsSenderHasLeft)
+TEST(RoutedEntry, CancelsTheAttemptWhenTheSenderDisconnects)
 {
-    entry_world world;
-    world.configure();
-    auto id = world.arrive();
-    world.entry().cancel(id, world.now);
-    EXPECT_EQ(world.cancelled.size(), 1U);
-    EXPECT_TRUE(world.answers.empty());
-    EXPECT_EQ(world.entry().inProgress(), 0U);
+    entry_harness harness;
+    harness.configure();
+    auto id = harness.arrive();
+    harness.entry().cancel(id, harness.now);
+    EXPECT_EQ(harness.cancelled.size(), 1U);
+    EXPECT_TRUE(harness.answers.empty());
+    EXPECT_EQ(harness.entry().inProgress(), 0U);
 }
 
-// The load: the deepest service carries half of what enters. Its refusals in the middle
-// cost whole requests that had used three services (served 0.378 of a day, and 0.599
-// with the entrance refusing for it).
-TEST(RoutedEntry, RefusesAtTheEntranceForTheServiceFurtherDown)
+// Guards against refusing requests only at the deepest service, which can carry half of the
+// load: each request refused there has already used three services. 0.378 of a day's requests
+// were served that way, and 0.599 when the entrance refused them.
+TEST(RoutedEntry, RefusesAtTheEntranceForAnOverloadedDownstreamService)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.answer(verdict::answered(), 200, positionsPerImportance);
-    auto before = world.sent.size();
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::answered(), 200, positionsPerImportance);
+    auto before = harness.sent.size();
     int refused = 0;
     for (int i = 0; i < 20; ++i) {
-        world.arrive();
-        refused += world.sent.size() == before ? 1 : 0;
-        before = world.sent.size();
+        harness.arrive();
+        refused += harness.sent.size() == before ? 1 : 0;
+        before = harness.sent.size();
     }
     EXPECT_GE(refused, 17);
-    EXPECT_EQ(world.answers.back().refusalStatus, 503U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
 }
 
-TEST(RoutedEntry, LetsACallOfTheOwnServerInheritItsRequestsPlace)
+TEST(RoutedEntry, GivesAnOnwardCallThePositionOfItsParent)
 {
-    entry_world world;
-    world.configure();
-    world.parent = parent_run { 5, {} };
-    world.parent->context.level = importance::Confirmed;
-    world.parent->context.position = sheddingPositionCount - 1;
-    world.arrive();
-    ASSERT_EQ(world.sent.size(), 1U);
-    EXPECT_EQ(world.sent.back().request.context.position, sheddingPositionCount - 1);
-    EXPECT_EQ(world.sent.back().request.context.depth, 1U);
-    world.answer(verdict::answered(), 200, 1234);
-    EXPECT_EQ(world.onwardCuts, std::vector<shedding_position> { 1234 });
+    entry_harness harness;
+    harness.configure();
+    harness.parent = parent_run { 5, {} };
+    harness.parent->context.level = importance::Confirmed;
+    harness.parent->context.position = sheddingPositionCount - 1;
+    harness.arrive();
+    ASSERT_EQ(harness.sent.size(), 1U);
+    EXPECT_EQ(harness.sent.back().request.context.position, sheddingPositionCount - 1);
+    EXPECT_EQ(harness.sent.back().request.context.depth, 1U);
+    harness.answer(verdict::answered(), 200, 1234);
+    EXPECT_EQ(harness.onwardCuts, std::vector<shedding_position> { 1234 });
 }
 
-// The load: after a power cut most requests are refused at the entrance and come back,
-// while those that run fail and are repeated, with all their calls. The refused ones
-// gave the repeats an allowance that the services further down never saw requests for:
-// 324 repeats where 303 were allowed.
-TEST(RoutedEntry, GetsNoAllowanceFromRequestsThatReachedNoServer)
+// Guards against retry allowance for requests that were refused at the entrance. After a power
+// cut most requests are refused there and come back, while those that run fail and are retried
+// with all their onward calls. The downstream services, which never saw the refused requests,
+// got 324 retries where 303 were allowed.
+TEST(RoutedEntry, GetsNoRetryAllowanceFromRequestsThatReachedNoServer)
 {
-    entry_world world(true, 0);
-    world.configure();
+    entry_harness harness(true, 0);
+    harness.configure();
     for (int i = 0; i < 400; ++i) {
-        world.arrive();
-        while (world.answers.size() <= static_cast<std::size_t>(i)) {
-            world.answer(verdict::notRun(verdict_reason::Overload));
+        harness.arrive();
+        while (harness.answers.size() <= static_cast<std::size_t>(i)) {
+            harness.answer(verdict::notRun(verdict_reason::Overload));
         }
     }
-    world.arrive();
-    auto before = world.sent.size();
-    world.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    EXPECT_EQ(world.sent.size(), before);
+    harness.arrive();
+    auto before = harness.sent.size();
+    harness.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    EXPECT_EQ(harness.sent.size(), before);
 }
 
-// Seen in the hire site's incident: a server's own 500 came at 694 of 800 ms, three
-// nodes refused the repeat as too late, and the client got a 502 in the 500's place.
-TEST(RoutedEntry, HandsOnTheServersFailureWhereARepeatBringsNothing)
+// Guards against replacing a server's error by the failure of its retry: a 500 came after 694 of
+// 800 ms, three nodes refused the retry as too late, and the client got a 502 instead of the 500.
+TEST(RoutedEntry, ReturnsTheServersErrorIfTheRetryIsRefused)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.answer(verdict::answered(), 500);
-    ASSERT_EQ(world.sent.size(), 2U);
-    for (int i = 0; i < 3 && world.answers.empty(); ++i) {
-        world.answer(verdict::notRun(verdict_reason::DeadlineTooShort));
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::answered(), 500);
+    ASSERT_EQ(harness.sent.size(), 2U);
+    for (int i = 0; i < 3 && harness.answers.empty(); ++i) {
+        harness.answer(verdict::notRun(verdict_reason::DeadlineTooShort));
     }
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::Ran);
-    EXPECT_EQ(world.answers.back().answer.status, 500U);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::Ran);
+    EXPECT_EQ(harness.answers.back().answer.status, 500U);
 }
 
-TEST(RoutedEntry, RepeatsNoFailureThatTookLongerThanWhatIsLeft)
+TEST(RoutedEntry, DoesNotRetryAnErrorThatTookLongerThanTheRemainingTime)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.now += milliseconds(500);
-    world.answer(verdict::answered(), 500);
-    EXPECT_EQ(world.sent.size(), 1U);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().answer.status, 500U);
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.now += milliseconds(500);
+    harness.answer(verdict::answered(), 500);
+    EXPECT_EQ(harness.sent.size(), 1U);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().answer.status, 500U);
 }
 
-// At the own server's gate the end of one call gives up the next, so that a call may be
-// answered while another one's time is found to be over. The process ended by that.
-TEST(RoutedEntry, BearsThatTheEndOfOneLateCallAnswersAnother)
+// Ending a call can make the local admission gate refuse the next one, so a call may be answered
+// while tick() ends another one that has expired. Without a check for this the process crashes.
+TEST(RoutedEntry, AllowsThatEndingOneExpiredCallAnswersAnother)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.arrive();
-    world.whenCancelled = [&world] {
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.arrive();
+    harness.onCancelled = [&harness] {
         call_answer refusal;
         refusal.outcome = verdict::notRun(verdict_reason::DeadlinePassed);
-        auto other = world.cancelled.back() == world.sent[0].id ? world.sent[1].id : world.sent[0].id;
-        world.entry().attemptAnswered(other, refusal, world.now);
+        auto other = harness.cancelled.back() == harness.sent[0].id ? harness.sent[1].id : harness.sent[0].id;
+        harness.entry().attemptAnswered(other, refusal, harness.now);
     };
-    world.now += milliseconds(800);
-    world.entry().tick(world.now);
-    EXPECT_EQ(world.answers.size(), 2U);
-    EXPECT_EQ(world.entry().inProgress(), 0U);
+    harness.now += milliseconds(800);
+    harness.entry().tick(harness.now);
+    EXPECT_EQ(harness.answers.size(), 2U);
+    EXPECT_EQ(harness.entry().inProgress(), 0U);
 }
 
-TEST(RoutedEntry, TellsWhatARefusalRestedOnAndHowOldItWas)
+TEST(RoutedEntry, ReportsTheCutBehindARefusalAndItsAge)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.answer(verdict::answered(), 200, sheddingPositionCount);
-    world.now += milliseconds(120);
-    for (std::size_t asked = 2; asked < 64 && world.finished.back().outcome.run == execution::Ran; ++asked) {
-        world.arrive();
-        if (world.answers.size() < asked) {
-            // Let through to learn whether the cut has opened.
-            world.answer(verdict::answered(), 200, sheddingPositionCount);
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.answer(verdict::answered(), 200, sheddingPositionCount);
+    harness.now += milliseconds(120);
+    for (std::size_t asked = 2; asked < 64 && harness.finished.back().outcome.run == execution::Ran; ++asked) {
+        harness.arrive();
+        if (harness.answers.size() < asked) {
+            // Admitted to learn whether the cut has opened.
+            harness.answer(verdict::answered(), 200, sheddingPositionCount);
         }
     }
-    const auto& refused = world.finished.back();
+    const auto& refused = harness.finished.back();
     EXPECT_EQ(refused.outcome.reason, verdict_reason::Overload);
     EXPECT_EQ(refused.inputs.version, 7);
     EXPECT_EQ(refused.inputs.cut, sheddingPositionCount);
@@ -438,141 +439,141 @@
     EXPECT_LT(refused.position, refused.inputs.cut);
 }
 
-TEST(RoutedEntry, AsksThreeTargetsForAFreeSlotAndWaitsAtTheFourth)
+TEST(RoutedEntry, ProbesThreeTargetsForAFreeSlotAndWaitsAtTheFourth)
 {
-    entry_world world(false, 0);
-    world.configure();
-    world.arrive();
+    entry_harness harness(false, 0);
+    harness.configure();
+    harness.arrive();
     for (int asked = 1; asked <= 3; ++asked) {
-        EXPECT_TRUE(world.sent.back().request.refuseIfFull);
-        EXPECT_EQ(world.sent.back().request.attempt, static_cast<std::uint32_t>(asked));
-        world.answerFull(verdict::notRun(verdict_reason::NoFreeSlot));
+        EXPECT_TRUE(harness.sent.back().request.refuseIfFull);
+        EXPECT_EQ(harness.sent.back().request.attempt, static_cast<std::uint32_t>(asked));
+        harness.answerFromFullTarget(verdict::notRun(verdict_reason::NoFreeSlot));
     }
-    ASSERT_EQ(world.sent.size(), 4U);
-    EXPECT_FALSE(world.sent.back().request.refuseIfFull);
-    world.answer(verdict::answered(), 200);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::Ran);
+    ASSERT_EQ(harness.sent.size(), 4U);
+    EXPECT_FALSE(harness.sent.back().request.refuseIfFull);
+    harness.answer(verdict::answered(), 200);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::Ran);
 }
 
-// A call is not lost where all that are left have been asked: it waits at one of them.
-TEST(RoutedEntry, ReturnsToAFullTargetWhereNoOtherIsLeft)
+// A call is not refused if all targets have been probed: it waits at one of them.
+TEST(RoutedEntry, ReturnsToAFullTargetIfNoOtherIsLeft)
 {
-    entry_world world;
-    world.configure();
-    auto few = std::make_shared<std::vector<member>>();
+    entry_harness harness;
+    harness.configure();
+    auto oneMember = std::make_shared<std::vector<member>>();
     member only;
     only.id = 1;
     only.availabilityZone = "a";
     only.service = "notices";
     only.slots = 10;
-    few->push_back(only);
-    world.entry().setMembers(few, world.now);
-    world.arrive();
-    world.answerFull(verdict::notRun(verdict_reason::NoFreeSlot));
-    ASSERT_EQ(world.sent.size(), 2U);
-    EXPECT_EQ(world.sent.back().target.id, 1U);
-    EXPECT_FALSE(world.sent.back().request.refuseIfFull);
-    EXPECT_TRUE(world.answers.empty());
+    oneMember->push_back(only);
+    harness.entry().setMembers(oneMember, harness.now);
+    harness.arrive();
+    harness.answerFromFullTarget(verdict::notRun(verdict_reason::NoFreeSlot));
+    ASSERT_EQ(harness.sent.size(), 2U);
+    EXPECT_EQ(harness.sent.back().target.id, 1U);
+    EXPECT_FALSE(harness.sent.back().request.refuseIfFull);
+    EXPECT_TRUE(harness.answers.empty());
 }
 
-TEST(RoutedEntry, AsksForNoFreeSlotWhereMostTargetsAreFull)
+TEST(RoutedEntry, DoesNotProbeForAFreeSlotIfMostTargetsAreFull)
 {
-    entry_world world;
-    world.configure();
+    entry_harness harness;
+    harness.configure();
     for (int i = 0; i < 60; ++i) {
-        world.arrive();
-        world.answerFull(verdict::answered(), 200);
+        harness.arrive();
+        harness.answerFromFullTarget(verdict::answered(), 200);
     }
-    world.arrive();
-    EXPECT_FALSE(world.sent.back().request.refuseIfFull);
-    // What was seen some seconds ago says little of now.
-    world.now += std::chrono::seconds(3);
-    world.arrive();
-    EXPECT_TRUE(world.sent.back().request.refuseIfFull);
+    harness.arrive();
+    EXPECT_FALSE(harness.sent.back().request.refuseIfFull);
+    // Observations expire after some seconds.
+    harness.now += std::chrono::seconds(3);
+    harness.arrive();
+    EXPECT_TRUE(harness.sent.back().request.refuseIfFull);
 }
 
-// A target that was only asked has not been reached: it takes nothing of the allowance.
-TEST(RoutedEntry, RepeatsAfterAskingAsOftenAsWithout)
+// A target that refused a probe has not been reached, so the probe uses up no retry.
+TEST(RoutedEntry, RetriesAsOftenAfterAProbeAsWithoutOne)
 {
-    entry_world world;
-    world.configure();
+    entry_harness harness;
+    harness.configure();
     for (int i = 0; i < 40; ++i) {
-        world.arrive();
-        world.answer(verdict::answered(), 200);
+        harness.arrive();
+        harness.answer(verdict::answered(), 200);
     }
-    auto before = world.sent.size();
-    world.arrive();
-    world.answerFull(verdict::notRun(verdict_reason::NoFreeSlot));
-    world.answer(verdict::notRun(verdict_reason::BackendRefused));
-    EXPECT_EQ(world.sent.size(), before + 3);
-    world.answer(verdict::notRun(verdict_reason::BackendRefused));
-    EXPECT_EQ(world.answers.back().outcome.run, execution::NotRun);
-    EXPECT_EQ(world.sent.size(), before + 3);
+    auto before = harness.sent.size();
+    harness.arrive();
+    harness.answerFromFullTarget(verdict::notRun(verdict_reason::NoFreeSlot));
+    harness.answer(verdict::notRun(verdict_reason::BackendRefused));
+    EXPECT_EQ(harness.sent.size(), before + 3);
+    harness.answer(verdict::notRun(verdict_reason::BackendRefused));
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::NotRun);
+    EXPECT_EQ(harness.sent.size(), before + 3);
 }
 
-TEST(RoutedEntry, SendsNothingUnderWhichServersHaveEnded)
+TEST(RoutedEntry, RefusesPoison)
 {
-    entry_world world;
-    world.configure();
-    world.poison = { fingerprintOf("/x/1", "") };
-    world.arrive("/x/1");
-    EXPECT_TRUE(world.sent.empty());
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 503U);
-    EXPECT_EQ(world.answers.back().outcome.reason, verdict_reason::Poison);
-    EXPECT_EQ(world.answers.back().outcome.retryAfter, poisonMemory);
-    world.arrive("/x/2");
-    EXPECT_EQ(world.sent.size(), 1U);
+    entry_harness harness;
+    harness.configure();
+    harness.listedContents = { fingerprintOf("/x/1", "") };
+    harness.arrive("/x/1");
+    EXPECT_TRUE(harness.sent.empty());
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
+    EXPECT_EQ(harness.answers.back().outcome.reason, verdict_reason::Poison);
+    EXPECT_EQ(harness.answers.back().outcome.retryAfter, poisonMemory);
+    harness.arrive("/x/2");
+    EXPECT_EQ(harness.sent.size(), 1U);
 }
 
-// What becomes known while a request is under way ends it: no further target gets it, and
-// its sender is not told that it has not run if it may have.
-TEST(RoutedEntry, SendsNoFurtherWhatHasBecomeKnownAsPoison)
+// A request that becomes known as poison while it is in progress goes to no further target. Its
+// sender is not told that it has not run if it may have.
+TEST(RoutedEntry, DoesNotRetryARequestThatHasBecomeKnownAsPoison)
 {
-    entry_world world;
-    world.configure();
-    world.arrive();
-    world.poison = { fingerprintOf("/x/1", "") };
-    world.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    EXPECT_EQ(world.sent.size(), 1U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 502U);
-    world.poison.clear();
-    world.arrive();
-    world.answer(verdict::notRun(verdict_reason::Poison, poisonMemory));
-    EXPECT_EQ(world.sent.size(), 2U);
-    EXPECT_EQ(world.answers.back().refusalStatus, 503U);
+    entry_harness harness;
+    harness.configure();
+    harness.arrive();
+    harness.listedContents = { fingerprintOf("/x/1", "") };
+    harness.answer(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    EXPECT_EQ(harness.sent.size(), 1U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 502U);
+    harness.listedContents.clear();
+    harness.arrive();
+    harness.answer(verdict::notRun(verdict_reason::Poison, poisonMemory));
+    EXPECT_EQ(harness.sent.size(), 2U);
+    EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
 }
 
-// Copies come in everywhere before the news of an end does.
-TEST(RoutedEntry, SendsWhatIsOneEndShortOfPoisonToOneServerOnly)
+// Copies of a request may enter at any node before the news of a terminated server arrives there.
+TEST(RoutedEntry, SendsNearlyPoisonousContentToOneServerOnly)
 {
     std::set<std::uint64_t> targets;
     std::set<std::uint64_t> usualTargets;
-    entry_world world;
-    world.configure();
-    world.standing = content_standing::NearlyPoison;
-    world.poison = { fingerprintOf("/x/1", "") };
+    entry_harness harness;
+    harness.configure();
+    harness.standing = content_standing::NearlyPoison;
+    harness.listedContents = { fingerprintOf("/x/1", "") };
     constexpr int copies = 40;
     for (int copy = 0; copy < copies; ++copy) {
-        world.arrive("/x/1");
-        targets.insert(world.sent.back().target.id);
-        world.arrive("/x/2");
-        usualTargets.insert(world.sent.back().target.id);
+        harness.arrive("/x/1");
+        targets.insert(harness.sent.back().target.id);
+        harness.arrive("/x/2");
+        usualTargets.insert(harness.sent.back().target.id);
     }
     EXPECT_EQ(targets.size(), 1U);
     EXPECT_GT(usualTargets.size(), 1U);
-    // Another content has a server of its own, and no other takes its place.
+    // Each content has its own server, and no other server replaces it.
     std::set<std::uint64_t> agreed;
     for (int path = 0; path < copies; ++path) {
         auto target = "/x/" + std::to_string(path);
-        world.poison = { fingerprintOf(target, "") };
-        world.arrive(target);
-        agreed.insert(world.sent.back().target.id);
-        auto before = world.sent.size();
-        world.answer(verdict::notRun(verdict_reason::PeerUnreachable));
-        EXPECT_EQ(world.sent.size(), before);
-        EXPECT_EQ(world.answers.back().refusalStatus, 503U);
+        harness.listedContents = { fingerprintOf(target, "") };
+        harness.arrive(target);
+        agreed.insert(harness.sent.back().target.id);
+        auto before = harness.sent.size();
+        harness.answer(verdict::notRun(verdict_reason::PeerUnreachable));
+        EXPECT_EQ(harness.sent.size(), before);
+        EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
     }
     EXPECT_EQ(agreed.size(), 4U);
 }
--- a/Tests/RoutedTarget/routed_target_test.cpp
+++ b/Tests/RoutedTarget/routed_target_test.cpp
@@ -15,10 +15,10 @@
     constexpr std::uint32_t announcedSlots = 28;
     const std::uint32_t slots = usableSlots(announcedSlots);
 
-    // A target with a server of its own, and what became of its calls.
-    class target_world {
+    // A target with one backend server. Records its runs and answers.
+    class target_harness {
     public:
-        target_world()
+        target_harness()
             : m_target(hooks())
         {
             server.start.instanceId = "i-1";
@@ -42,7 +42,7 @@
                 std::move(request), [this](const call_answer& answer) { answers.push_back(answer); }, now);
         }
 
-        // Answers the call that has run longest.
+        // The server answers the call that has been running for the longest time.
         void serverAnswers(const verdict& outcome, std::uint32_t status = 200)
         {
             auto runId = running.front();
@@ -56,8 +56,8 @@
         int refusals() const
         {
             int count = 0;
-            for (const auto& each : answers) {
-                count += each.outcome.run == execution::NotRun ? 1 : 0;
+            for (const auto& callAnswer : answers) {
+                count += callAnswer.outcome.run == execution::NotRun ? 1 : 0;
             }
             return count;
         }
@@ -69,14 +69,14 @@
         std::deque<std::uint64_t> running;
         std::vector<std::uint64_t> cancelled;
         std::vector<call_answer> answers;
-        int startsAgain = 0;
+        int restarts = 0;
         std::string path = "/x/1";
-        // What servers have ended under, as the other nodes tell.
-        std::vector<request_fingerprint> poison;
+        // Contents that have the standing below; all others are harmless.
+        std::vector<request_fingerprint> listedContents;
         content_standing standing = content_standing::Poison;
-        int asked = 0;
-        std::vector<server_end> ends;
-        std::vector<request_fingerprint> served;
+        int serverChecks = 0;
+        std::vector<server_end> serverEnds;
+        std::vector<request_fingerprint> servedContents;
 
     private:
         target_hooks hooks()
@@ -84,13 +84,13 @@
             target_hooks result;
             result.run = [this](std::uint64_t runId, const server_report&, const call_request&, time_point) { running.push_back(runId); };
             result.cancelRun = [this](std::uint64_t runId) { cancelled.push_back(runId); };
-            result.serverStartedAgain = [this] { ++startsAgain; };
-            result.askServer = [this] { ++asked; };
-            result.serverEnded = [this](const server_end& end) { ends.push_back(end); };
+            result.serverRestarted = [this] { ++restarts; };
+            result.checkServer = [this] { ++serverChecks; };
+            result.serverEnded = [this](const server_end& end) { serverEnds.push_back(end); };
             result.standingOf = [this](request_fingerprint content) {
-                return std::count(poison.begin(), poison.end(), content) != 0 ? standing : content_standing::Harmless;
+                return std::count(listedContents.begin(), listedContents.end(), content) != 0 ? standing : content_standing::Harmless;
             };
-            result.contentServed = [this](request_fingerprint content) { served.push_back(content); };
+            result.contentServed = [this](request_fingerprint content) { servedContents.push_back(content); };
             result.random = [this] { return ++m_lastId; };
             return result;
         }
@@ -101,380 +101,382 @@
 
 }
 
-// The load: every server of a service refuses over half of what it gets for eight
-// seconds while its health is good. The limit of 28 slots fell to one by a fifth for
-// each window of refusals, and 28% were served until the processes were killed.
-TEST(RoutedTarget, KeepsTheSlotsOfAServerThatRefusesForAReasonOfItsOwn)
+// Guards against lowering the limit for refusals that load does not cause. When every server of
+// a service refused over half of its calls for eight seconds while its health was good, the limit
+// of 28 slots fell by a fifth in each window with refusals, down to one, and only 28% of the
+// requests were served until the processes were killed.
+TEST(RoutedTarget, KeepsTheLimitOfAServerThatRefusesForOtherReasonsThanLoad)
 {
-    target_world world;
+    target_harness harness;
     for (int i = 0; i < 2000; ++i) {
-        world.now += milliseconds(4);
-        world.arrive();
-        if (!world.running.empty()) {
-            world.serverAnswers(i % 2 == 0 ? verdict::notRun(verdict_reason::BackendRefused) : verdict::answered());
+        harness.now += milliseconds(4);
+        harness.arrive();
+        if (!harness.running.empty()) {
+            harness.serverAnswers(i % 2 == 0 ? verdict::notRun(verdict_reason::BackendRefused) : verdict::answered());
         }
     }
-    EXPECT_EQ(world.target().gate().limit(), slots);
+    EXPECT_EQ(harness.target().gate().limit(), slots);
 }
 
-// A server that is nearly full may become slower, so that the last of its slots stay free.
-TEST(RoutedTarget, GivesAServerNeverMoreThanItsUsableSlots)
+// A server that is nearly full may become slower, so the last of its slots stay free.
+TEST(RoutedTarget, NeverGivesAServerMoreThanItsUsableSlots)
 {
-    target_world world;
+    target_harness harness;
     for (std::uint32_t i = 0; i < 3 * announcedSlots; ++i) {
-        world.arrive();
+        harness.arrive();
     }
-    EXPECT_EQ(world.running.size(), slots);
+    EXPECT_EQ(harness.running.size(), slots);
     EXPECT_LT(slots, announcedSlots);
 }
 
-TEST(RoutedTarget, BeginsNothingOnceTheServerLeaves)
+TEST(RoutedTarget, StartsNoCallOnceTheServerDrains)
 {
-    target_world world;
+    target_harness harness;
     for (std::uint32_t i = 0; i < slots + 5; ++i) {
-        world.arrive();
+        harness.arrive();
     }
-    ASSERT_EQ(world.running.size(), slots);
-    world.server.condition = server_condition::Draining;
-    world.target().setServer(world.server, false, world.now);
-    EXPECT_EQ(world.refusals(), 5);
-    world.arrive();
-    EXPECT_EQ(world.refusals(), 6);
-    EXPECT_EQ(world.answers.back().outcome.reason, verdict_reason::Draining);
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.running.size(), slots - 1);
+    ASSERT_EQ(harness.running.size(), slots);
+    harness.server.condition = server_condition::Draining;
+    harness.target().setServer(harness.server, false, harness.now);
+    EXPECT_EQ(harness.refusals(), 5);
+    harness.arrive();
+    EXPECT_EQ(harness.refusals(), 6);
+    EXPECT_EQ(harness.answers.back().outcome.reason, verdict_reason::Draining);
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.running.size(), slots - 1);
 }
 
-TEST(RoutedTarget, RefusesWhatIsForAnotherService)
+TEST(RoutedTarget, RefusesCallsForAnotherService)
 {
-    target_world world;
-    world.server.service = "threads";
-    world.target().setServer(world.server, true, world.now);
-    world.arrive();
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.front().outcome.run, execution::NotRun);
+    target_harness harness;
+    harness.server.service = "threads";
+    harness.target().setServer(harness.server, true, harness.now);
+    harness.arrive();
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.front().outcome.run, execution::NotRun);
 }
 
-TEST(RoutedTarget, DropsTheRunOfACallerThatLeft)
+TEST(RoutedTarget, CancelsTheRunOfACallerThatLeft)
 {
-    target_world world;
-    auto id = world.arrive();
-    world.target().cancel(id, world.now);
-    EXPECT_EQ(world.cancelled, std::vector<std::uint64_t> { id });
-    EXPECT_EQ(world.target().inProgress(), 0U);
+    target_harness harness;
+    auto id = harness.arrive();
+    harness.target().cancel(id, harness.now);
+    EXPECT_EQ(harness.cancelled, std::vector<std::uint64_t> { id });
+    EXPECT_EQ(harness.target().inProgress(), 0U);
 }
 
-// The load: requests that have used three services meet the fourth, which is full of
-// requests that have used none. Whole requests are refused for the sake of begun ones.
-TEST(RoutedTarget, PrefersWhatHasBegunToWhatBegins)
+// Requests that have used three services arrive at a fourth one, which is full of requests that
+// have used none. New requests are refused in favour of begun ones.
+TEST(RoutedTarget, PrefersCallsOfBegunRequests)
 {
-    target_world world;
+    target_harness harness;
     for (std::uint32_t i = 0; i < slots + 12; ++i) {
-        world.arrive();
+        harness.arrive();
     }
-    auto begun = world.arrive(2);
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.running.back(), begun);
+    auto begun = harness.arrive(2);
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.running.back(), begun);
 }
 
-TEST(RoutedTarget, TellsTheCutThatTheRunsOwnCallsMet)
+TEST(RoutedTarget, ReportsTheCutThatTheRunsOnwardCallsMet)
 {
-    target_world world;
-    auto id = world.arrive();
-    world.target().learnOnward(id, { "stays", 1000, { "stays", milliseconds(15) }, 1 });
-    world.target().learnOnward(id, { "notices", 1200, { "notices", milliseconds(20) }, 4 });
-    world.target().learnOnward(id, { "notices", 1600, { "notices", milliseconds(24) }, 0 });
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.answers.back().cut, 1400U);
-    // All calls to the narrowest service count together.
-    EXPECT_EQ(world.answers.back().cost.service, "notices");
-    EXPECT_EQ(world.answers.back().cost.slotTime, milliseconds(44));
-    EXPECT_EQ(world.answers.back().zoneCrossings, 5U);
+    target_harness harness;
+    auto id = harness.arrive();
+    harness.target().recordOnwardCall(id, { "stays", 1000, { "stays", milliseconds(15) }, 1 });
+    harness.target().recordOnwardCall(id, { "notices", 1200, { "notices", milliseconds(20) }, 4 });
+    harness.target().recordOnwardCall(id, { "notices", 1600, { "notices", milliseconds(24) }, 0 });
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.answers.back().cut, 1400U);
+    // The costs of all calls to the narrowest service are added.
+    EXPECT_EQ(harness.answers.back().cost.service, "notices");
+    EXPECT_EQ(harness.answers.back().cost.slotTime, milliseconds(44));
+    EXPECT_EQ(harness.answers.back().zoneCrossings, 5U);
 }
 
-TEST(RoutedTarget, TellsForHowLongARequestHeldItsSlot)
+TEST(RoutedTarget, ReportsForHowLongARequestHeldItsSlot)
 {
-    target_world world;
-    world.arrive();
-    world.now += milliseconds(490);
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.answers.back().cost.service, "notices");
-    EXPECT_EQ(world.answers.back().cost.slotTime, milliseconds(490));
+    target_harness harness;
+    harness.arrive();
+    harness.now += milliseconds(490);
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.answers.back().cost.service, "notices");
+    EXPECT_EQ(harness.answers.back().cost.slotTime, milliseconds(490));
 }
 
 TEST(RoutedTarget, FindsTheRunOfACallByItsDeadline)
 {
-    target_world world;
-    auto id = world.arrive();
-    auto parent = world.target().findParent("", world.now + milliseconds(2000));
+    target_harness harness;
+    auto id = harness.arrive();
+    auto parent = harness.target().findParent("", harness.now + milliseconds(2000));
     ASSERT_TRUE(parent);
     EXPECT_EQ(parent->runId, id);
-    EXPECT_FALSE(world.target().findParent("", world.now + milliseconds(5000)));
+    EXPECT_FALSE(harness.target().findParent("", harness.now + milliseconds(5000)));
 }
 
-// The load: calls that are bound to end before their run carry no deadline of its own;
-// 3768 of them in six seconds were refused at the entrance as if they were whole requests.
-TEST(RoutedTarget, FindsTheRunOfACallByTheRequestThatItNames)
+// Guards against taking onward calls for client requests. An onward call with a shorter timeout
+// than its run does not have the run's deadline; 3768 such calls in six seconds were refused at
+// the entrance.
+TEST(RoutedTarget, FindsTheRunOfACallByItsParentId)
 {
-    target_world world;
-    auto first = world.arrive();
-    auto second = world.arrive();
-    auto parent = world.target().findParent("request-" + std::to_string(second), world.now + milliseconds(700));
+    target_harness harness;
+    auto first = harness.arrive();
+    auto second = harness.arrive();
+    auto parent = harness.target().findParent("request-" + std::to_string(second), harness.now + milliseconds(700));
     ASSERT_TRUE(parent);
     EXPECT_EQ(parent->runId, second);
-    EXPECT_FALSE(world.target().findParent("stranger", world.now + milliseconds(2000)));
-    world.target().cancel(first, world.now);
-    EXPECT_FALSE(world.target().findParent("request-" + std::to_string(first), world.now + milliseconds(700)));
+    EXPECT_FALSE(harness.target().findParent("stranger", harness.now + milliseconds(2000)));
+    harness.target().cancel(first, harness.now);
+    EXPECT_FALSE(harness.target().findParent("request-" + std::to_string(first), harness.now + milliseconds(700)));
 }
 
-// A server that starts again under its id has forgotten what it ran. Whoever waits is told
-// at once, and not at the deadline.
-TEST(RoutedTarget, AnswersAtOnceWhatAStartThatIsOverRan)
+// A server that restarts under the same id has lost its runs. Their callers are answered at once
+// and not at the deadline.
+TEST(RoutedTarget, AnswersTheRunsOfAPreviousStartAtOnce)
 {
-    target_world world;
-    world.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(10));
-    world.target().setServer(world.server, true, world.now);
+    target_harness harness;
+    harness.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(10));
+    harness.target().setServer(harness.server, true, harness.now);
     for (std::uint32_t i = 0; i < 3; ++i) {
-        world.arrive();
+        harness.arrive();
     }
-    auto begun = world.running;
-    world.startsAgain = 0;
-    world.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(20));
-    world.target().setServer(world.server, true, world.now);
-    ASSERT_EQ(world.answers.size(), 3U);
-    for (const auto& answer : world.answers) {
+    auto begun = harness.running;
+    harness.restarts = 0;
+    harness.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(20));
+    harness.target().setServer(harness.server, true, harness.now);
+    ASSERT_EQ(harness.answers.size(), 3U);
+    for (const auto& answer : harness.answers) {
         EXPECT_EQ(answer.outcome.run, execution::MayHaveRun);
         EXPECT_EQ(answer.outcome.reason, verdict_reason::AnswerLost);
     }
-    EXPECT_EQ(world.cancelled.size(), begun.size());
-    EXPECT_EQ(world.startsAgain, 1);
-    EXPECT_EQ(world.target().inProgress(), 0U);
-    world.running.clear();
-    world.arrive();
-    EXPECT_EQ(world.running.size(), 1U);
+    EXPECT_EQ(harness.cancelled.size(), begun.size());
+    EXPECT_EQ(harness.restarts, 1);
+    EXPECT_EQ(harness.target().inProgress(), 0U);
+    harness.running.clear();
+    harness.arrive();
+    EXPECT_EQ(harness.running.size(), 1U);
 }
 
-// Its report may be the late one: what runs goes on until the server itself has spoken.
-TEST(RoutedTarget, LeavesTheRunsWhereAnotherServerIsReported)
+// The report may be outdated: runs continue until the server itself answers.
+TEST(RoutedTarget, KeepsTheRunsIfAnotherServerIsReported)
 {
-    target_world world;
-    world.arrive();
-    world.server.start.instanceId = "i-2";
-    world.target().setServer(world.server, true, world.now);
-    EXPECT_TRUE(world.answers.empty());
-    EXPECT_TRUE(world.cancelled.empty());
-    EXPECT_EQ(world.startsAgain, 0);
+    target_harness harness;
+    harness.arrive();
+    harness.server.start.instanceId = "i-2";
+    harness.target().setServer(harness.server, true, harness.now);
+    EXPECT_TRUE(harness.answers.empty());
+    EXPECT_TRUE(harness.cancelled.empty());
+    EXPECT_EQ(harness.restarts, 0);
 }
 
-TEST(RoutedTarget, RefusesAtOnceACallThatIsNotToWait)
+TEST(RoutedTarget, RefusesAtOnceACallThatMustNotWait)
 {
-    target_world world;
+    target_harness harness;
     for (std::uint32_t i = 0; i < slots; ++i) {
-        world.arrive(0, 0, true);
+        harness.arrive(0, 0, true);
     }
-    EXPECT_EQ(world.running.size(), slots);
-    world.arrive(1, 0, true);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::NotRun);
-    EXPECT_EQ(world.answers.back().outcome.reason, verdict_reason::NoFreeSlot);
-    EXPECT_EQ(world.answers.back().inFlight, slots);
-    // One that may wait does, and goes before a later one that may not.
-    world.arrive();
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.running.size(), slots);
-    EXPECT_EQ(world.answers.size(), 2U);
+    EXPECT_EQ(harness.running.size(), slots);
+    harness.arrive(1, 0, true);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::NotRun);
+    EXPECT_EQ(harness.answers.back().outcome.reason, verdict_reason::NoFreeSlot);
+    EXPECT_EQ(harness.answers.back().inFlight, slots);
+    // A call that may wait gets the next free slot.
+    harness.arrive();
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.running.size(), slots);
+    EXPECT_EQ(harness.answers.size(), 2U);
 }
 
-// What waits has not been sent to the start that is over, and runs at the next one.
-TEST(RoutedTarget, RunsAtTheNextStartWhatWaitedForTheLast)
+// Waiting calls were not sent to the previous start, so they run at the next one.
+TEST(RoutedTarget, RunsWaitingCallsAtTheNextStart)
 {
-    target_world world;
-    world.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(10));
-    world.target().setServer(world.server, true, world.now);
+    target_harness harness;
+    harness.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(10));
+    harness.target().setServer(harness.server, true, harness.now);
     constexpr std::uint32_t waiting = 3;
     for (std::uint32_t i = 0; i < slots + waiting; ++i) {
-        world.arrive();
+        harness.arrive();
     }
-    world.running.clear();
-    world.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(20));
-    world.target().setServer(world.server, true, world.now);
-    EXPECT_EQ(world.answers.size(), slots);
-    EXPECT_EQ(world.refusals(), 0);
-    EXPECT_EQ(world.running.size(), waiting);
+    harness.running.clear();
+    harness.server.start.born = std::chrono::system_clock::time_point(std::chrono::seconds(20));
+    harness.target().setServer(harness.server, true, harness.now);
+    EXPECT_EQ(harness.answers.size(), slots);
+    EXPECT_EQ(harness.refusals(), 0);
+    EXPECT_EQ(harness.running.size(), waiting);
 }
 
-TEST(RoutedTarget, TellsUnderWhatItsServerHasEnded)
+TEST(RoutedTarget, ReportsTheContentsRunningWhenTheServerTerminated)
 {
-    target_world world;
-    world.arrive();
-    world.path = "/x/2";
-    world.arrive();
-    world.arrive();
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.served, std::vector { fingerprintOf("/x/1", "") });
-    world.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    world.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    EXPECT_TRUE(world.ends.empty());
-    world.now += milliseconds(50);
-    world.target().tick(world.now);
-    world.target().tick(world.now);
-    EXPECT_EQ(world.asked, 1);
-    EXPECT_TRUE(world.target().doubtsServer());
-    world.target().serverAsked(server_presence::Gone, world.now);
-    ASSERT_EQ(world.ends.size(), 1U);
-    EXPECT_EQ(world.ends.front().start.instanceId, "i-1");
-    EXPECT_EQ(world.ends.front().running, std::vector { fingerprintOf("/x/2", "") });
-    EXPECT_FALSE(world.target().doubtsServer());
+    target_harness harness;
+    harness.arrive();
+    harness.path = "/x/2";
+    harness.arrive();
+    harness.arrive();
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.servedContents, std::vector { fingerprintOf("/x/1", "") });
+    harness.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    harness.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    EXPECT_TRUE(harness.serverEnds.empty());
+    harness.now += milliseconds(50);
+    harness.target().tick(harness.now);
+    harness.target().tick(harness.now);
+    EXPECT_EQ(harness.serverChecks, 1);
+    EXPECT_TRUE(harness.target().isServerInDoubt());
+    harness.target().serverChecked(server_presence::Gone, harness.now);
+    ASSERT_EQ(harness.serverEnds.size(), 1U);
+    EXPECT_EQ(harness.serverEnds.front().start.instanceId, "i-1");
+    EXPECT_EQ(harness.serverEnds.front().running, std::vector { fingerprintOf("/x/2", "") });
+    EXPECT_FALSE(harness.target().isServerInDoubt());
 }
 
-// Two servers that are lost together would else take it away from everybody.
-TEST(RoutedTarget, SuspectsNothingThatItsServerHasJustServed)
+// Otherwise two servers that are lost together could make a frequently requested content poison.
+TEST(RoutedTarget, DoesNotSuspectRecentlyServedContents)
 {
-    target_world world;
-    world.arrive();
-    world.serverAnswers(verdict::answered());
-    world.arrive();
-    world.path = "/x/2";
-    world.arrive();
-    world.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    world.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    world.target().serverAsked(server_presence::Gone, world.now);
-    ASSERT_EQ(world.ends.size(), 1U);
-    EXPECT_EQ(world.ends.front().running, std::vector { fingerprintOf("/x/2", "") });
+    target_harness harness;
+    harness.arrive();
+    harness.serverAnswers(verdict::answered());
+    harness.arrive();
+    harness.path = "/x/2";
+    harness.arrive();
+    harness.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    harness.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    harness.target().serverChecked(server_presence::Gone, harness.now);
+    ASSERT_EQ(harness.serverEnds.size(), 1U);
+    EXPECT_EQ(harness.serverEnds.front().running, std::vector { fingerprintOf("/x/2", "") });
 }
 
 // A server that gives up at the deadline has not shown that the content is harmless.
-TEST(RoutedTarget, ClearsNoContentByAFailureOfItsServer)
+TEST(RoutedTarget, DoesNotClearAContentByAServerError)
 {
-    target_world world;
-    world.arrive();
-    world.serverAnswers(verdict::answered(), 504);
-    EXPECT_TRUE(world.served.empty());
+    target_harness harness;
+    harness.arrive();
+    harness.serverAnswers(verdict::answered(), 504);
+    EXPECT_TRUE(harness.servedContents.empty());
 }
 
-TEST(RoutedTarget, TellsOfAnEndByTheNextStart)
+TEST(RoutedTarget, ReportsATerminationAtTheNextStart)
 {
-    target_world world;
-    world.arrive();
-    world.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
-    world.server.start.instanceId = "i-2";
-    world.target().setServer(world.server, true, world.now);
-    ASSERT_EQ(world.ends.size(), 1U);
-    EXPECT_EQ(world.ends.front().start.instanceId, "i-1");
+    target_harness harness;
+    harness.arrive();
+    harness.serverAnswers(verdict::mayHaveRun(verdict_reason::AnswerLost));
+    harness.server.start.instanceId = "i-2";
+    harness.target().setServer(harness.server, true, harness.now);
+    ASSERT_EQ(harness.serverEnds.size(), 1U);
+    EXPECT_EQ(harness.serverEnds.front().start.instanceId, "i-1");
 }
 
-TEST(RoutedTarget, GivesItsServerNothingUnderWhichOthersHaveEnded)
+TEST(RoutedTarget, RefusesPoison)
 {
-    target_world world;
+    target_harness harness;
     for (std::uint32_t i = 0; i < slots; ++i) {
-        world.arrive();
+        harness.arrive();
     }
-    world.path = "/x/2";
-    world.arrive();
-    EXPECT_TRUE(world.answers.empty());
-    world.poison = { fingerprintOf("/x/2", "") };
-    world.arrive();
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::NotRun);
-    EXPECT_EQ(world.answers.back().outcome.reason, verdict_reason::Poison);
-    // The one that waits since before is not begun either.
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.answers.size(), 3U);
-    EXPECT_EQ(world.refusals(), 2);
-    EXPECT_EQ(world.running.size(), slots - 1);
+    harness.path = "/x/2";
+    harness.arrive();
+    EXPECT_TRUE(harness.answers.empty());
+    harness.listedContents = { fingerprintOf("/x/2", "") };
+    harness.arrive();
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::NotRun);
+    EXPECT_EQ(harness.answers.back().outcome.reason, verdict_reason::Poison);
+    // The call of this content that was already waiting is not started either.
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.answers.size(), 3U);
+    EXPECT_EQ(harness.refusals(), 2);
+    EXPECT_EQ(harness.running.size(), slots - 1);
 }
 
-TEST(RoutedTarget, GivesItsServerOneAtATimeOfWhatOthersHaveEndedUnder)
+TEST(RoutedTarget, RunsCallsOfASuspectContentOneAtATime)
 {
-    target_world world;
-    world.standing = content_standing::Suspect;
-    world.poison = { fingerprintOf("/x/1", "") };
-    world.arrive();
-    world.arrive();
-    EXPECT_EQ(world.running.size(), 1U);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::NotRun);
-    EXPECT_EQ(world.answers.back().outcome.reason, verdict_reason::Poison);
-    EXPECT_GT(world.answers.back().outcome.retryAfter.count(), 0);
-    world.path = "/x/2";
-    world.arrive();
-    world.arrive();
-    EXPECT_EQ(world.running.size(), 3U);
-    world.path = "/x/1";
-    world.serverAnswers(verdict::answered());
-    world.arrive();
-    EXPECT_EQ(world.running.size(), 3U);
+    target_harness harness;
+    harness.standing = content_standing::Suspect;
+    harness.listedContents = { fingerprintOf("/x/1", "") };
+    harness.arrive();
+    harness.arrive();
+    EXPECT_EQ(harness.running.size(), 1U);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::NotRun);
+    EXPECT_EQ(harness.answers.back().outcome.reason, verdict_reason::Poison);
+    EXPECT_GT(harness.answers.back().outcome.retryAfter.count(), 0);
+    harness.path = "/x/2";
+    harness.arrive();
+    harness.arrive();
+    EXPECT_EQ(harness.running.size(), 3U);
+    harness.path = "/x/1";
+    harness.serverAnswers(verdict::answered());
+    harness.arrive();
+    EXPECT_EQ(harness.running.size(), 3U);
 }
 
-// The load: a server's machine is slow for half a second, while others have free slots.
-TEST(RoutedTarget, PassesOnWhatMayGoElsewhereWhileItsServerIsSlow)
+// A server's machine is slow for half a second while other servers have free slots.
+TEST(RoutedTarget, RefusesCallsThatCanRunElsewhereWhileTheServerIsSlow)
 {
-    target_world world;
-    world.target().serverTold(world.server.start, { 0, 0, announcedSlots, 2.5 }, world.now);
-    world.arrive(0, 0, true);
-    ASSERT_EQ(world.answers.size(), 1U);
-    EXPECT_EQ(world.answers.back().outcome.run, execution::NotRun);
-    EXPECT_EQ(world.answers.back().outcome.reason, verdict_reason::NoFreeSlot);
-    // One that has nowhere else to go runs.
-    world.arrive();
-    EXPECT_EQ(world.running.size(), 1U);
-    // What it told is over soon.
-    world.now += milliseconds(400);
-    world.arrive(0, 0, true);
-    EXPECT_EQ(world.running.size(), 2U);
+    target_harness harness;
+    harness.target().serverReportedLoad(harness.server.start, { 0, 0, announcedSlots, 2.5 }, harness.now);
+    harness.arrive(0, 0, true);
+    ASSERT_EQ(harness.answers.size(), 1U);
+    EXPECT_EQ(harness.answers.back().outcome.run, execution::NotRun);
+    EXPECT_EQ(harness.answers.back().outcome.reason, verdict_reason::NoFreeSlot);
+    // A call that cannot run elsewhere runs here.
+    harness.arrive();
+    EXPECT_EQ(harness.running.size(), 1U);
+    // The reported slowdown expires soon.
+    harness.now += milliseconds(400);
+    harness.arrive(0, 0, true);
+    EXPECT_EQ(harness.running.size(), 2U);
 }
 
-TEST(RoutedTarget, TellsTheUsualTimeOfAClassOnceItsServerHasToldItsSpeed)
+TEST(RoutedTarget, ReportsTheUsualTimeOfAClassOnceTheServerHasReportedItsSpeed)
 {
-    target_world world;
+    target_harness harness;
     for (int i = 0; i < 5; ++i) {
-        world.arrive();
-        world.now += milliseconds(80);
-        world.serverAnswers(verdict::answered());
-        EXPECT_EQ(world.answers.back().usualTime.count(), 0);
+        harness.arrive();
+        harness.now += milliseconds(80);
+        harness.serverAnswers(verdict::answered());
+        EXPECT_EQ(harness.answers.back().usualTime.count(), 0);
     }
-    world.target().serverTold(world.server.start, { 0, 0, announcedSlots, 1 }, world.now);
-    world.arrive();
-    world.now += milliseconds(80);
-    world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.answers.back().usualTime, milliseconds(80));
+    harness.target().serverReportedLoad(harness.server.start, { 0, 0, announcedSlots, 1 }, harness.now);
+    harness.arrive();
+    harness.now += milliseconds(80);
+    harness.serverAnswers(verdict::answered());
+    EXPECT_EQ(harness.answers.back().usualTime, milliseconds(80));
 }
 
-// A server that has just started works at half its speed for some seconds, and says so.
-TEST(RoutedTarget, TakesNoTimeOfAServerThatIsStillColdForUsual)
+// A server that has just started works at half its speed for some seconds and announces this.
+TEST(RoutedTarget, IgnoresTheTimesOfAServerThatIsWarmingUp)
 {
-    target_world world;
-    world.server.warmupLeft = milliseconds(1000);
-    world.target().setServer(world.server, true, world.now);
-    world.target().serverTold(world.server.start, { 0, 0, announcedSlots, 1 }, world.now);
+    target_harness harness;
+    harness.server.warmupLeft = milliseconds(1000);
+    harness.target().setServer(harness.server, true, harness.now);
+    harness.target().serverReportedLoad(harness.server.start, { 0, 0, announcedSlots, 1 }, harness.now);
     for (int i = 0; i < 10; ++i) {
-        world.arrive();
-        world.now += milliseconds(90);
-        world.serverAnswers(verdict::answered());
-        EXPECT_EQ(world.answers.back().usualTime.count(), 0);
+        harness.arrive();
+        harness.now += milliseconds(90);
+        harness.serverAnswers(verdict::answered());
+        EXPECT_EQ(harness.answers.back().usualTime.count(), 0);
     }
-    world.now += milliseconds(200);
+    harness.now += milliseconds(200);
     for (int i = 0; i < 5; ++i) {
-        world.arrive();
-        world.now += milliseconds(40);
-        world.serverAnswers(verdict::answered());
+        harness.arrive();
+        harness.now += milliseconds(40);
+        harness.serverAnswers(verdict::answered());
     }
-    EXPECT_EQ(world.answers.back().usualTime, milliseconds(40));
+    EXPECT_EQ(harness.answers.back().usualTime, milliseconds(40));
 }
 
-// A restart under the same id: what the last start told, also late, says nothing of this one.
-TEST(RoutedTarget, ForgetsTheSpeedOfAnotherStartOfItsServer)
+// After a restart under the same id, reports of the previous start, also late ones, do not count.
+TEST(RoutedTarget, ForgetsTheSpeedOfAPreviousStart)
 {
-    target_world world;
-    auto before = world.server.start;
-    world.target().serverTold(before, { 0, 0, announcedSlots, 2.5 }, world.now);
-    world.server.start.born = std::chrono::system_clock::time_point(milliseconds(1000));
-    world.target().setServer(world.server, true, world.now);
-    EXPECT_FALSE(world.target().pace().isSlow(world.now));
-    world.target().serverTold(before, { 0, 0, announcedSlots, 2.5 }, world.now);
-    EXPECT_FALSE(world.target().pace().isSlow(world.now));
-    world.target().serverTold(world.server.start, { 0, 0, announcedSlots, 2.5 }, world.now);
-    EXPECT_TRUE(world.target().pace().isSlow(world.now));
+    target_harness harness;
+    auto before = harness.server.start;
+    harness.target().serverReportedLoad(before, { 0, 0, announcedSlots, 2.5 }, harness.now);
+    harness.server.start.born = std::chrono::system_clock::time_point(milliseconds(1000));
+    harness.target().setServer(harness.server, true, harness.now);
+    EXPECT_FALSE(harness.target().pace().isSlow(harness.now));
+    harness.target().serverReportedLoad(before, { 0, 0, announcedSlots, 2.5 }, harness.now);
+    EXPECT_FALSE(harness.target().pace().isSlow(harness.now));
+    harness.target().serverReportedLoad(harness.server.start, { 0, 0, announcedSlots, 2.5 }, harness.now);
+    EXPECT_TRUE(harness.target().pace().isSlow(harness.now));
 }
 
 }
