--- a/Source/membership/dissemination_queue.h
+++ b/Source/membership/dissemination_queue.h
@@ -9,16 +9,20 @@
 
 namespace vanillashunt {
 
-// The members that there is news of, and how often each piece of news has still
-// to be sent. Fresh news goes first, then what has waited longest.
+// The members whose updates are still to be disseminated, and how often each
+// update has still to be sent. New updates go first, then those that have waited
+// longest.
 class dissemination_queue {
 public:
+    // Returns the bytes that the update of a member takes on the wire.
     using size_hook = std::function<std::size_t(std::uint64_t memberId)>;
 
-    // News that is there already starts again.
+    // Queues the update of a member. For a member that is queued already, the number of
+    // transmissions left starts again and the position stays.
     void add(std::uint64_t memberId, std::uint32_t transmissions);
 
-    // Takes members whose news fits the bytes, and counts one transmission of each.
+    // Returns members from the front of the queue whose updates fit into the given bytes
+    // together, and counts one transmission of each.
     std::vector<std::uint64_t> take(std::size_t bytes, const size_hook&);
 
     bool empty() const { return m_remaining.empty(); }
--- a/Source/membership/failure_detector.cpp
+++ b/Source/membership/failure_detector.cpp
@@ -14,7 +14,7 @@
     return started.sequence;
 }
 
-std::optional<probe> failure_detector::answered(std::uint32_t sequence, std::uint64_t targetId)
+std::optional<probe> failure_detector::takeAnswered(std::uint32_t sequence, std::uint64_t targetId)
 {
     auto found = m_probes.find(sequence);
     if (found == m_probes.end() || found->second.targetId != targetId) {
@@ -25,26 +25,26 @@
     return ended;
 }
 
-void failure_detector::helperHeard(std::uint32_t sequence)
+void failure_detector::recordPingRequestAccepted(std::uint32_t sequence)
 {
     auto found = m_probes.find(sequence);
     if (found != m_probes.end()) {
-        ++found->second.helpersHeard;
+        ++found->second.pingRequestsAccepted;
     }
 }
 
-void failure_detector::askedHelpers(std::uint32_t sequence, std::size_t count, time_point deadline)
+void failure_detector::recordPingRequestsSent(std::uint32_t sequence, std::size_t count, time_point deadline)
 {
     auto found = m_probes.find(sequence);
     if (found == m_probes.end()) {
         return;
     }
     found->second.indirect = true;
-    found->second.helpersAsked = static_cast<std::uint32_t>(count);
+    found->second.pingRequestsSent = static_cast<std::uint32_t>(count);
     found->second.deadline = deadline;
 }
 
-std::vector<probe> failure_detector::directlyUnanswered(time_point now) const
+std::vector<probe> failure_detector::directTimeouts(time_point now) const
 {
     std::vector<probe> found;
     for (const auto& [sequence, entry] : m_probes) {
@@ -58,13 +58,13 @@
 std::vector<probe> failure_detector::takeFailed(time_point now)
 {
     std::vector<probe> failed;
-    for (auto at = m_probes.begin(); at != m_probes.end();) {
-        if (!at->second.indirect || at->second.deadline > now) {
-            ++at;
+    for (auto it = m_probes.begin(); it != m_probes.end();) {
+        if (!it->second.indirect || it->second.deadline > now) {
+            ++it;
             continue;
         }
-        failed.push_back(at->second);
-        at = m_probes.erase(at);
+        failed.push_back(it->second);
+        it = m_probes.erase(it);
     }
     return failed;
 }
--- a/Source/membership/failure_detector.h
+++ b/Source/membership/failure_detector.h
@@ -9,42 +9,46 @@
 
 namespace vanillashunt {
 
-// One probe of a member that has not been answered yet.
+// One probe of a member, not answered yet.
 struct probe {
     std::uint32_t sequence = 0;
     std::uint64_t targetId = 0;
     std::string availabilityZone;
     std::chrono::steady_clock::time_point sentAt;
     std::chrono::steady_clock::time_point deadline;
-    // Whether others were asked to ping the target.
+    // Whether the probe has passed from the direct to the indirect phase, in which
+    // other members ping the target.
     bool indirect = false;
-    std::uint32_t helpersAsked = 0;
-    std::uint32_t helpersHeard = 0;
+    std::uint32_t pingRequestsSent = 0;
+    std::uint32_t pingRequestsAccepted = 0;
 };
 
-// The probes in progress, from the ping to the answer or to the last timeout.
+// The probes in progress, from the direct ping to the answer or the indirect timeout.
 class failure_detector {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // A sequence number for a ping that is not one of these probes.
-    std::uint32_t takeSequence() { return ++m_lastSequence; }
+    // Returns a sequence number for a ping that is not a probe of this node.
+    std::uint32_t nextSequence() { return ++m_lastSequence; }
 
+    // Returns the sequence number of the new probe.
     std::uint32_t start(std::uint64_t targetId, const std::string& zone, time_point now, std::chrono::milliseconds timeout);
 
-    // Returns the probe that the answer ends; nothing for a late or foreign one.
-    std::optional<probe> answered(std::uint32_t sequence, std::uint64_t targetId);
+    // Removes and returns the probe that the answer belongs to; returns nothing if
+    // the answer is late or does not match a probe.
+    std::optional<probe> takeAnswered(std::uint32_t sequence, std::uint64_t targetId);
 
-    void helperHeard(std::uint32_t sequence);
-    void askedHelpers(std::uint32_t sequence, std::size_t count, time_point deadline);
+    void recordPingRequestAccepted(std::uint32_t sequence);
+    // Starts the indirect phase of a probe.
+    void recordPingRequestsSent(std::uint32_t sequence, std::size_t count, time_point deadline);
 
-    // Probes whose direct ping was not answered in time and that have not been indirect yet.
-    std::vector<probe> directlyUnanswered(time_point now) const;
+    // Returns the probes whose direct ping has timed out and that are not indirect yet.
+    std::vector<probe> directTimeouts(time_point now) const;
 
-    // Takes the probes that have failed.
+    // Removes and returns the probes whose indirect phase has timed out.
     std::vector<probe> takeFailed(time_point now);
 
-    // Forgets all, since answers may have come while this node did not listen.
+    // Drops all probes after a pause of this node: answers may have arrived meanwhile.
     void dropAll() { m_probes.clear(); }
 
 private:
--- a/Source/membership/gossip_message.h
+++ b/Source/membership/gossip_message.h
@@ -8,10 +8,10 @@
 
 namespace vanillashunt {
 
-// What one node tells another of a member: its whole entry, or just its state.
+// What one node tells another about a member: its whole entry, or only its state.
 struct member_update {
     bool whole = false;
-    // Of an update that is not whole only id, version and state count.
+    // Only id, version and state are set unless the update is whole.
     member entry;
 };
 
@@ -20,13 +20,13 @@
     Ack,
     // Asks a third member to ping the target.
     PingRequest,
-    // Tells that a PingRequest has arrived, so that its sender need not doubt itself.
+    // Confirms a PingRequest, which shows its sender that its own network works.
     PingAccepted,
-    // News only.
+    // Carries updates only.
     Push,
     // One hash for each availability zone.
     Digest,
-    // The hashes of one availability zone's buckets.
+    // The hash of each bucket of one availability zone.
     BucketDigest,
     // Asks for the entries of some buckets.
     Pull,
@@ -34,6 +34,7 @@
     Entries,
 };
 
+// One more than the highest kind; the kinds start at 1.
 constexpr std::uint8_t gossipKindCount = 10;
 
 struct zone_hash {
@@ -41,12 +42,12 @@
     std::uint64_t hash = 0;
 };
 
-// How far a node knows what all nodes are to know. Who lacks a version fetches what it
-// brought from whoever told of it.
+// Versions of the documents that are replicated to all nodes, as one node holds them. A
+// node that receives a higher version fetches the changes from the sender.
 struct document_versions {
-    // The highest revision of the contracts, or the version of the routes.
+    // Highest revision of the contracts, or version of the routes.
     std::int64_t contracts = 0;
-    // Of the document on requests that end servers.
+    // Version of the document that lists requests which crash backend servers.
     std::int64_t poison = 0;
 };
 
@@ -54,17 +55,17 @@
 struct gossip_message {
     gossip_kind kind = gossip_kind::Ping;
     std::uint64_t senderId = 0;
-    // Where the sender takes answers, as advertised.
+    // Advertised address to which answers are sent.
     std::string senderAddress;
-    // What the sender has of that which all nodes are to know.
+    // Versions of the replicated documents that the sender holds.
     document_versions versions;
 
     // Ping, Ack, PingRequest and PingAccepted.
     std::uint32_t sequence = 0;
-    // Whom it is about: the member to be pinged, or the one that answered. 0 for anyone.
+    // The member to be pinged or, in an Ack, the one that answered; 0 for any member.
     std::uint64_t targetId = 0;
     std::string targetAddress;
-    // The sender's digest of all members, and whether it has been the same for a while.
+    // The sender's digest of all members, and whether it has not changed recently.
     std::uint64_t digest = 0;
     bool settled = false;
 
@@ -75,20 +76,21 @@
     // BucketDigest, Pull and Entries.
     std::string availabilityZone;
     std::vector<std::uint64_t> buckets;
-    // Pull: the buckets wanted. Entries: the buckets that were asked for.
+    // Pull: the requested buckets. Entries: the buckets that had been requested. One bit
+    // for each bucket.
     std::uint64_t bucketMask = 0;
-    // Entries: buckets that were asked for and do not fit in this answer.
+    // Entries: requested buckets that do not fit into this answer.
     std::uint64_t remainingMask = 0;
-    // Entries: whether it is the last datagram of an answer.
+    // Entries: whether this is the last datagram of an answer.
     bool isLast = false;
 
     std::vector<member_update> updates;
 };
 
-// Bytes that an update takes on the wire, at most.
+// Returns the maximum number of bytes that an update takes on the wire.
 std::size_t wireBytes(const member_update&);
 
-// Bytes of updates that fit in one datagram beside everything else.
+// Bytes available for updates in one datagram, beside its other fields.
 constexpr std::size_t updateBytesPerDatagram = 1150;
 
 }
--- a/Source/membership/gossip_protocol.cpp
+++ b/Source/membership/gossip_protocol.cpp
@@ -8,17 +8,18 @@
 namespace {
 
     constexpr std::chrono::milliseconds sweepPeriod { 5000 };
-    constexpr std::chrono::milliseconds fastestZoneProbe { 150 };
-    constexpr std::chrono::milliseconds slowestZoneProbe { 1000 };
-    // A doubtful zone is probed again this soon.
-    constexpr std::chrono::milliseconds zoneProbeAgain { 100 };
-    constexpr std::chrono::milliseconds aloneAfter { 5000 };
-    // Probes in a row after which a member counts as not reachable from here.
-    constexpr std::uint32_t unreachableAfter = 2;
-    // Entries learnt in one exchange that are pushed on.
-    constexpr std::uint32_t mostNewsOfExchange = 50;
-
-    bool due(std::chrono::steady_clock::time_point& next, std::chrono::milliseconds period, std::chrono::steady_clock::time_point now)
+    constexpr std::chrono::milliseconds minZoneProbePeriod { 150 };
+    constexpr std::chrono::milliseconds maxZoneProbePeriod { 1000 };
+    // Shorter period while a zone is doubtful, to find out soon whether it is reachable.
+    constexpr std::chrono::milliseconds doubtfulZoneProbePeriod { 100 };
+    constexpr std::chrono::milliseconds aloneTimeout { 5000 };
+    // Consecutive unanswered probes after which a member counts as unreachable.
+    constexpr std::uint32_t failuresUntilUnreachable = 2;
+    // Updates learned in one state exchange that are disseminated further.
+    constexpr std::uint32_t maxUpdatesFromExchange = 50;
+
+    // Returns whether the time has come, and if so sets the next one.
+    bool advanceIfDue(std::chrono::steady_clock::time_point& next, std::chrono::milliseconds period, std::chrono::steady_clock::time_point now)
     {
         if (now < next) {
             return false;
@@ -34,17 +35,17 @@
     , m_hooks(std::move(hooks))
     , m_table(options, [this](std::uint64_t memberId) { memberChanged(memberId); })
     , m_exchange(m_table, exchangeHooks())
-    , m_schedule(m_hooks.random)
-    , m_pushes(options.secondPush, now)
+    , m_probeSchedule(m_hooks.random)
+    , m_pushSchedule(options.secondPushDelay, now)
     , m_started(now)
-    , m_selfStarted(now - self.uptime)
+    , m_processStarted(now - self.uptime)
     , m_now(now)
-    , m_lastExchange(now - options.longestUnsettled)
+    , m_lastExchange(now - options.maxUnsettledTime)
 {
     updateSelf(self, now);
-    // Nodes that start together do not probe in step.
-    m_nextOwnProbe = now + std::chrono::milliseconds(m_hooks.random(static_cast<std::uint64_t>(m_options.probePeriod.count())));
-    m_nextZoneProbe = m_nextOwnProbe;
+    // A random offset keeps nodes that start together from probing in step.
+    m_nextOwnZoneProbe = now + std::chrono::milliseconds(m_hooks.random(static_cast<std::uint64_t>(m_options.probePeriod.count())));
+    m_nextOtherZoneProbe = m_nextOwnZoneProbe;
 }
 
 exchange_hooks gossip_protocol::exchangeHooks()
@@ -55,23 +56,23 @@
     return hooks;
 }
 
-// A gap between two looks at the clock means that this node did not run; what it
-// missed meanwhile says nothing about others.
-void gossip_protocol::noteTime(time_point now)
+// A long gap between two calls means that this process was paused. Answers missed
+// meanwhile say nothing about other members, so probes and suspicions start again.
+void gossip_protocol::detectPause(time_point now)
 {
     auto gap = std::chrono::duration_cast<std::chrono::milliseconds>(now - m_now);
     m_now = now;
-    if (gap < m_options.pauseGap || !m_options.doubtsItself) {
+    if (gap < m_options.pauseGap || !m_options.checksOwnHealth) {
         return;
     }
-    m_health.paused(now);
-    m_probes.dropAll();
-    m_suspicions.restart(m_health.stretch(m_options.suspicionTime), now);
+    m_health.recordPause(now);
+    m_failureDetector.dropAll();
+    m_suspicions.restart(m_health.scale(m_options.suspicionTime), now);
 }
 
 void gossip_protocol::receive(const gossip_message& message, time_point now)
 {
-    noteTime(now);
+    detectPause(now);
     if (m_left || message.senderId == m_table.self().id) {
         return;
     }
@@ -94,7 +95,7 @@
         pingRequestReceived(message, now);
         break;
     case gossip_kind::PingAccepted:
-        m_probes.helperHeard(message.sequence);
+        m_failureDetector.recordPingRequestAccepted(message.sequence);
         break;
     case gossip_kind::Push:
         break;
@@ -103,27 +104,27 @@
         m_joining = m_joining && m_exchange.finished() == 0;
         break;
     }
-    if (m_pushes.isSoon()) {
+    if (m_pushSchedule.isPending()) {
         push(now);
     }
 }
 
 void gossip_protocol::mergeUpdates(const gossip_message& message, time_point now)
 {
-    m_merging = message.kind == gossip_kind::Entries;
+    m_mergingEntries = message.kind == gossip_kind::Entries;
     for (const auto& update : message.updates) {
         if (update.entry.id == m_table.self().id) {
-            heardOfSelf(update, message.senderAddress, now);
+            handleUpdateAboutSelf(update, message.senderAddress, now);
             continue;
         }
         const auto* known = m_table.find(message.senderId);
         bool bySelf = update.entry.id == message.senderId;
         m_table.merge(update, bySelf ? "own word" : "word of " + (known && known->whole ? known->entry.name : message.senderAddress), now);
     }
-    m_merging = false;
+    m_mergingEntries = false;
 }
 
-void gossip_protocol::heardOfSelf(const member_update& update, const std::string& senderAddress, time_point now)
+void gossip_protocol::handleUpdateAboutSelf(const member_update& update, const std::string& senderAddress, time_point now)
 {
     const auto& self = m_table.self();
     if (update.entry.state == member_state::Left) {
@@ -135,11 +136,11 @@
     bool accused = update.entry.state == member_state::Suspect || update.entry.state == member_state::Dead;
     bool newer = update.entry.version > self.version;
     if (accused && m_options.refutes && update.entry.version < self.version) {
-        // Refuted before, but the sender has missed it.
-        gossip_message word;
-        word.kind = gossip_kind::Push;
-        word.updates.push_back(m_table.updateOf(self.id, now));
-        send(senderAddress, std::move(word), now);
+        // Refuted by a higher version already, which the sender has not received.
+        gossip_message refutation;
+        refutation.kind = gossip_kind::Push;
+        refutation.updates.push_back(m_table.makeUpdate(self.id, now));
+        send(senderAddress, std::move(refutation), now);
         return;
     }
     if (!m_options.refutes || !(newer || (accused && update.entry.version == self.version))) {
@@ -156,24 +157,24 @@
 void gossip_protocol::updateSelf(member self, time_point now)
 {
     ++self.version;
-    self.uptime = std::chrono::duration_cast<std::chrono::milliseconds>(now - m_selfStarted);
+    self.uptime = std::chrono::duration_cast<std::chrono::milliseconds>(now - m_processStarted);
     m_table.setSelf(self, now);
 }
 
-void gossip_protocol::setSelf(const member& wanted, time_point now)
+void gossip_protocol::setSelf(const member& changed, time_point now)
 {
     auto self = m_table.self();
     if (m_left) {
         return;
     }
-    if (wanted.service == self.service && wanted.slots == self.slots && wanted.state == self.state
-        && wanted.operatorAddress == self.operatorAddress) {
+    if (changed.service == self.service && changed.slots == self.slots && changed.state == self.state
+        && changed.operatorAddress == self.operatorAddress) {
         return;
     }
-    self.service = wanted.service;
-    self.slots = wanted.slots;
-    self.state = wanted.state;
-    self.operatorAddress = wanted.operatorAddress;
+    self.service = changed.service;
+    self.slots = changed.slots;
+    self.state = changed.state;
+    self.operatorAddress = changed.operatorAddress;
     updateSelf(self, now);
     if (self.state == member_state::Left) {
         leave(now);
@@ -184,7 +185,7 @@
 
 void gossip_protocol::leave(time_point now)
 {
-    m_pushes.refill();
+    m_pushSchedule.refill();
     constexpr int rounds = 3;
     for (int round = 0; round < rounds; ++round) {
         push(now);
@@ -195,7 +196,7 @@
 void gossip_protocol::spreadSoon(time_point now)
 {
     push(now);
-    m_pushes.repeatLater(now);
+    m_pushSchedule.scheduleRepeat(now);
 }
 
 void gossip_protocol::setContacts(const std::vector<std::string>& addresses, time_point now)
@@ -204,7 +205,7 @@
     m_contacts.erase(m_table.self().address);
     for (const auto& address : m_contacts) {
         if (before.count(address) == 0) {
-            m_nextGreeting = now;
+            m_nextContactPing = now;
         }
     }
 }
@@ -215,23 +216,25 @@
     const auto* record = m_table.find(memberId);
     auto state = record->entry.state;
     if (state == member_state::Suspect) {
-        m_suspicions.start(memberId, m_health.stretch(m_options.suspicionTime), m_now);
+        m_suspicions.start(memberId, m_health.scale(m_options.suspicionTime), m_now);
     } else {
         m_suspicions.stop(memberId);
-        m_unanswered.erase(memberId);
+        m_consecutiveFailures.erase(memberId);
     }
-    // What an exchange brings is old to most others; only little of it is passed on.
-    if (!m_merging || ++m_newsOfExchange <= mostNewsOfExchange) {
-        m_news.add(memberId, transmissions());
-        m_pushes.newsCame(m_now);
+    // Most other members know the updates of a state exchange already, so only a limited
+    // number of them is disseminated further.
+    if (!m_mergingEntries || ++m_updatesFromExchange <= maxUpdatesFromExchange) {
+        m_updateQueue.add(memberId, transmissionsPerUpdate());
+        m_pushSchedule.updateQueued(m_now);
     }
 }
 
-// Enough for news to reach everyone with high probability: grows with the logarithm.
-std::uint32_t gossip_protocol::transmissions() const
+// Grows with the logarithm of the number of members, so that an update reaches all of
+// them with high probability.
+std::uint32_t gossip_protocol::transmissionsPerUpdate() const
 {
-    constexpr std::uint32_t least = 3;
-    std::uint32_t count = least;
+    constexpr std::uint32_t minTransmissions = 3;
+    std::uint32_t count = minTransmissions;
     for (auto members = m_table.liveCount(); members > 1; members /= 2) {
         ++count;
     }
@@ -244,32 +247,32 @@
     ack.kind = gossip_kind::Ack;
     ack.sequence = message.sequence;
     ack.targetId = m_table.self().id;
-    bool stranger = !m_table.find(message.senderId);
-    bool mistaken = message.targetId != m_table.self().id;
-    if (stranger || mistaken) {
-        ack.updates.push_back(m_table.updateOf(m_table.self().id, now));
+    bool senderUnknown = !m_table.find(message.senderId);
+    bool wrongTarget = message.targetId != m_table.self().id;
+    if (senderUnknown || wrongTarget) {
+        ack.updates.push_back(m_table.makeUpdate(m_table.self().id, now));
     }
-    sendNews(message.senderId, message.senderAddress, std::move(ack), now);
+    sendWithUpdates(message.senderId, message.senderAddress, std::move(ack), now);
     compareDigest(message, now);
 }
 
 void gossip_protocol::ackReceived(const gossip_message& message, time_point now)
 {
-    if (auto relayed = m_relayed.takeAnswered(message.sequence)) {
+    if (auto relayed = m_relayedPings.takeAnswered(message.sequence)) {
         gossip_message ack;
         ack.kind = gossip_kind::Ack;
         ack.sequence = relayed->requesterSequence;
         ack.targetId = message.targetId;
         send(relayed->requester, std::move(ack), now);
     }
-    auto ended = m_probes.answered(message.sequence, message.targetId);
+    auto ended = m_failureDetector.takeAnswered(message.sequence, message.targetId);
     if (ended) {
-        m_health.answered(ended->sentAt, now);
+        m_health.recordAnswer(ended->sentAt, now);
         m_health.improve();
-        m_changes += m_unanswered.erase(ended->targetId);
-        // An answer by way of others does not show that this node reaches the zone.
+        m_changes += m_consecutiveFailures.erase(ended->targetId);
+        // An answer through a relay does not show that this node reaches the zone.
         if (message.senderId == ended->targetId) {
-            m_zones.answered(ended->availabilityZone, now);
+            m_zoneReachability.recordAnswer(ended->availabilityZone, now);
         }
     }
     compareDigest(message, now);
@@ -282,59 +285,60 @@
     accepted.sequence = message.sequence;
     accepted.targetId = message.targetId;
     send(message.senderAddress, std::move(accepted), now);
-    auto sequence = m_probes.takeSequence();
-    m_relayed.add(sequence, { message.senderAddress, message.sequence, now + m_options.indirectTimeout });
+    auto sequence = m_failureDetector.nextSequence();
+    m_relayedPings.add(sequence, { message.senderAddress, message.sequence, now + m_options.indirectTimeout });
     gossip_message ping;
     ping.sequence = sequence;
     ping.targetId = message.targetId;
     send(message.targetAddress, std::move(ping), now);
 }
 
-// News under way makes digests differ for a moment; only a difference that stays is repaired.
+// Digests differ briefly while updates spread. A state exchange starts only for a
+// difference that lasts, or while this node joins.
 void gossip_protocol::compareDigest(const gossip_message& message, time_point now)
 {
     if (!m_options.comparesDigests || message.digest == m_table.digest()) {
         return;
     }
     bool settled = message.settled && now - m_table.lastChange() >= m_options.settleTime;
-    bool overdue = now - m_lastExchange >= m_options.longestUnsettled;
-    bool newcomer = m_joining && message.kind == gossip_kind::Ack;
-    if (m_exchange.inProgress() || !(settled || overdue || newcomer)) {
+    bool overdue = now - m_lastExchange >= m_options.maxUnsettledTime;
+    bool joining = m_joining && message.kind == gossip_kind::Ack;
+    if (m_exchange.inProgress() || !(settled || overdue || joining)) {
         return;
     }
     m_lastExchange = now;
-    m_newsOfExchange = 0;
+    m_updatesFromExchange = 0;
     m_exchange.start(message.senderAddress, now);
 }
 
 void gossip_protocol::tick(time_point now)
 {
-    noteTime(now);
+    detectPause(now);
     if (m_left) {
         return;
     }
-    for (const auto& unanswered : m_probes.directlyUnanswered(now)) {
-        askHelpers(unanswered, now);
+    for (const auto& timedOut : m_failureDetector.directTimeouts(now)) {
+        requestIndirectPings(timedOut, now);
     }
-    for (const auto& failed : m_probes.takeFailed(now)) {
+    for (const auto& failed : m_failureDetector.takeFailed(now)) {
         probeFailed(failed, now);
     }
     expireSuspicions(now);
     probeOwnZone(now);
     probeOtherZone(now);
-    greetContacts(now);
+    pingContacts(now);
     m_exchange.tick(now);
-    if (m_pushes.takeDue(now)) {
+    if (m_pushSchedule.takeDue(now)) {
         push(now);
     }
-    if (due(m_nextSweep, sweepPeriod, now)) {
-        m_table.forgetTombstones(now);
+    if (advanceIfDue(m_nextSweep, sweepPeriod, now)) {
+        m_table.expireTombstones(now);
         retireUnreachable(now);
-        m_relayed.forget(now);
+        m_relayedPings.dropExpired(now);
     }
 }
 
-std::vector<std::uint64_t> gossip_protocol::otherLive(const std::string& zone) const
+std::vector<std::uint64_t> gossip_protocol::otherLiveMembers(const std::string& zone) const
 {
     auto members = m_table.liveIn(zone);
     members.erase(std::remove(members.begin(), members.end(), m_table.self().id), members.end());
@@ -343,10 +347,10 @@
 
 void gossip_protocol::probeOwnZone(time_point now)
 {
-    if (!due(m_nextOwnProbe, m_health.stretch(m_options.probePeriod), now)) {
+    if (!advanceIfDue(m_nextOwnZoneProbe, m_health.scale(m_options.probePeriod), now)) {
         return;
     }
-    auto target = m_schedule.next(otherLive(m_table.self().availabilityZone));
+    auto target = m_probeSchedule.next(otherLiveMembers(m_table.self().availabilityZone));
     if (target) {
         startProbe(m_table.find(*target)->entry, now);
     }
@@ -354,87 +358,88 @@
 
 void gossip_protocol::probeOtherZone(time_point now)
 {
-    if (now < m_nextZoneProbe) {
+    if (now < m_nextOtherZoneProbe) {
         return;
     }
     auto zone = nextOtherZone();
     auto zoneCount = std::max<std::size_t>(1, m_table.zones().size());
-    auto period = std::clamp(m_options.zoneRound / static_cast<int>(zoneCount), fastestZoneProbe, slowestZoneProbe);
-    m_nextZoneProbe = now + (m_zones.doubtful(zone) ? zoneProbeAgain : period);
-    auto targets = pickSome(m_table.liveIn(zone), 1, m_table.self().id, m_hooks.random);
+    auto period = std::clamp(m_options.zoneProbeInterval / static_cast<int>(zoneCount), minZoneProbePeriod, maxZoneProbePeriod);
+    m_nextOtherZoneProbe = now + (m_zoneReachability.doubtful(zone) ? doubtfulZoneProbePeriod : period);
+    auto targets = pickRandom(m_table.liveIn(zone), 1, m_table.self().id, m_hooks.random);
     if (!targets.empty()) {
         startProbe(m_table.find(targets.front())->entry, now);
     }
 }
 
-// In turn, but a zone in doubt first, so that a cut is found out soon.
+// Takes the zones in turn, but a doubtful zone first, so that an unreachable zone is
+// detected soon.
 std::string gossip_protocol::nextOtherZone()
 {
     for (const auto& [zone, members] : m_table.zones()) {
-        if (zone != m_table.self().availabilityZone && !members.live.empty() && m_zones.doubtful(zone)) {
+        if (zone != m_table.self().availabilityZone && !members.live.empty() && m_zoneReachability.doubtful(zone)) {
             return zone;
         }
     }
-    if (m_zoneRound.empty()) {
+    if (m_zonesToProbe.empty()) {
         for (const auto& [zone, members] : m_table.zones()) {
             if (zone != m_table.self().availabilityZone && !members.live.empty()) {
-                m_zoneRound.push_back(zone);
+                m_zonesToProbe.push_back(zone);
             }
         }
     }
-    if (m_zoneRound.empty()) {
+    if (m_zonesToProbe.empty()) {
         return "";
     }
-    auto zone = m_zoneRound.back();
-    m_zoneRound.pop_back();
+    auto zone = m_zonesToProbe.back();
+    m_zonesToProbe.pop_back();
     return zone;
 }
 
 void gossip_protocol::startProbe(const member& target, time_point now)
 {
     gossip_message ping;
-    ping.sequence = m_probes.start(target.id, target.availabilityZone, now, m_health.stretch(m_options.probeTimeout));
+    ping.sequence = m_failureDetector.start(target.id, target.availabilityZone, now, m_health.scale(m_options.probeTimeout));
     ping.targetId = target.id;
-    sendNews(target.id, target.address, std::move(ping), now);
+    sendWithUpdates(target.id, target.address, std::move(ping), now);
 }
 
-void gossip_protocol::askHelpers(const probe& unanswered, time_point now)
+void gossip_protocol::requestIndirectPings(const probe& timedOut, time_point now)
 {
-    const auto* target = m_table.find(unanswered.targetId);
-    std::vector<std::uint64_t> helpers;
-    if (target && judges(target->entry)) {
+    const auto* target = m_table.find(timedOut.targetId);
+    std::vector<std::uint64_t> relays;
+    if (target && mayDeclareDead(target->entry)) {
         const auto& ownZone = m_table.self().availabilityZone;
-        auto near = otherLive(ownZone);
-        near.erase(std::remove_if(near.begin(), near.end(), [this](std::uint64_t id) { return m_unanswered.count(id) > 0; }), near.end());
-        helpers = pickSome(near, m_options.helpers - 1, unanswered.targetId, m_hooks.random);
-        std::vector<std::uint64_t> far;
+        auto ownZoneMembers = otherLiveMembers(ownZone);
+        ownZoneMembers.erase(std::remove_if(ownZoneMembers.begin(), ownZoneMembers.end(), [this](std::uint64_t id) { return m_consecutiveFailures.count(id) > 0; }), ownZoneMembers.end());
+        relays = pickRandom(ownZoneMembers, m_options.relayCount - 1, timedOut.targetId, m_hooks.random);
+        std::vector<std::uint64_t> otherZoneMembers;
         for (const auto& [zone, members] : m_table.zones()) {
-            if (zone != ownZone && m_zones.reachable(zone)) {
-                far.insert(far.end(), members.live.begin(), members.live.end());
+            if (zone != ownZone && m_zoneReachability.reachable(zone)) {
+                otherZoneMembers.insert(otherZoneMembers.end(), members.live.begin(), members.live.end());
             }
         }
-        for (auto helper : pickSome(far, m_options.helpers - helpers.size(), unanswered.targetId, m_hooks.random)) {
-            helpers.push_back(helper);
+        for (auto relay : pickRandom(otherZoneMembers, m_options.relayCount - relays.size(), timedOut.targetId, m_hooks.random)) {
+            relays.push_back(relay);
         }
     }
-    auto deadline = helpers.empty() ? now : now + m_health.stretch(m_options.indirectTimeout);
-    m_probes.askedHelpers(unanswered.sequence, helpers.size(), deadline);
-    for (auto helper : helpers) {
+    auto deadline = relays.empty() ? now : now + m_health.scale(m_options.indirectTimeout);
+    m_failureDetector.recordPingRequestsSent(timedOut.sequence, relays.size(), deadline);
+    for (auto relay : relays) {
         gossip_message request;
         request.kind = gossip_kind::PingRequest;
-        request.sequence = unanswered.sequence;
-        request.targetId = unanswered.targetId;
+        request.sequence = timedOut.sequence;
+        request.targetId = timedOut.targetId;
         request.targetAddress = target->entry.address;
-        send(m_table.find(helper)->entry.address, std::move(request), now);
+        send(m_table.find(relay)->entry.address, std::move(request), now);
     }
 }
 
-bool gossip_protocol::judges(const member& entry) const
+bool gossip_protocol::mayDeclareDead(const member& entry) const
 {
-    if (entry.availabilityZone == m_table.self().availabilityZone || !m_options.zonesApart) {
+    if (entry.availabilityZone == m_table.self().availabilityZone || !m_options.separatesZoneReachability) {
         return true;
     }
-    return m_zones.reachable(entry.availabilityZone) && m_table.liveIn(entry.availabilityZone).size() < m_options.smallZone;
+    return m_zoneReachability.reachable(entry.availabilityZone) && m_table.liveIn(entry.availabilityZone).size() < m_options.smallZoneSize;
 }
 
 void gossip_protocol::probeFailed(const probe& failed, time_point now)
@@ -446,27 +451,27 @@
     const auto& zone = target->entry.availabilityZone;
     bool ownZone = zone == m_table.self().availabilityZone;
     if (!ownZone) {
-        m_zones.unanswered(zone, failed.targetId, m_table.liveIn(zone).size(), now);
+        m_zoneReachability.recordFailure(zone, failed.targetId, m_table.liveIn(zone).size(), now);
     }
-    if (!judges(target->entry)) {
+    if (!mayDeclareDead(target->entry)) {
         return;
     }
-    m_changes += ++m_unanswered[failed.targetId] == unreachableAfter ? 1 : 0;
-    // Nobody else answered either: the fault is more likely here.
-    if (failed.helpersHeard == 0 && m_options.doubtsItself) {
-        if (failed.helpersAsked > 0) {
+    m_changes += ++m_consecutiveFailures[failed.targetId] == failuresUntilUnreachable ? 1 : 0;
+    // No relay has confirmed a ping request, so the fault is more likely at this node.
+    if (failed.pingRequestsAccepted == 0 && m_options.checksOwnHealth) {
+        if (failed.pingRequestsSent > 0) {
             m_health.worsen();
         }
-        m_schedule.probeAgain(failed.targetId);
+        m_probeSchedule.probeAgain(failed.targetId);
         return;
     }
-    // Whom the whole zone's silence concerns is left to the zone.
-    bool zoneSilent = !ownZone && m_zones.doubtful(zone) && m_table.liveIn(zone).size() < 2;
-    if (m_options.zonesApart && zoneSilent) {
+    // The only live member of a zone may be silent because the zone is unreachable.
+    bool zoneMayBeUnreachable = !ownZone && m_zoneReachability.doubtful(zone) && m_table.liveIn(zone).size() < 2;
+    if (m_options.separatesZoneReachability && zoneMayBeUnreachable) {
         return;
     }
     m_suspicionsRaised += target->entry.state == member_state::Suspect ? 0 : 1;
-    m_table.judge(failed.targetId, member_state::Suspect, "did not answer a probe", now);
+    m_table.declareState(failed.targetId, member_state::Suspect, "did not answer a probe", now);
 }
 
 void gossip_protocol::expireSuspicions(time_point now)
@@ -477,30 +482,31 @@
             m_suspicions.stop(suspicion.memberId);
             continue;
         }
-        // An answer to a probe sent since shows that this node would have heard a refutation.
-        bool wouldHaveHeard = m_health.trusted() && m_health.heardSince(suspicion.since);
-        if (!judges(record->entry) || (m_options.doubtsItself && !wouldHaveHeard)) {
+        // An answer to a probe sent after the suspicion began shows that a refutation
+        // would have reached this node.
+        bool couldReceiveRefutation = m_health.trusted() && m_health.probeAnsweredSince(suspicion.since);
+        if (!mayDeclareDead(record->entry) || (m_options.checksOwnHealth && !couldReceiveRefutation)) {
             continue;
         }
         const auto& zone = record->entry.availabilityZone;
-        if (m_options.zonesApart && zone != m_table.self().availabilityZone && m_zones.doubtful(zone)) {
+        if (m_options.separatesZoneReachability && zone != m_table.self().availabilityZone && m_zoneReachability.doubtful(zone)) {
             continue;
         }
         ++m_deathsDeclared;
-        m_table.judge(suspicion.memberId, member_state::Dead, "did not refute a suspicion", now);
+        m_table.declareState(suspicion.memberId, member_state::Dead, "did not refute a suspicion", now);
     }
 }
 
-// A zone that nobody has come back from for this long will hardly do so.
+// Members of a zone that has been unreachable for this long are not expected to return.
 void gossip_protocol::retireUnreachable(time_point now)
 {
     for (const auto& [zone, members] : m_table.zones()) {
-        if (m_zones.unreachableFor(zone, now) < m_options.unreachableLimit) {
+        if (m_zoneReachability.unreachableFor(zone, now) < m_options.unreachableLimit) {
             continue;
         }
-        const auto gone = members.live;
-        for (auto memberId : gone) {
-            m_table.judge(memberId, member_state::Dead, "zone unreachable for too long", now);
+        const auto unreachableMembers = members.live;
+        for (auto memberId : unreachableMembers) {
+            m_table.declareState(memberId, member_state::Dead, "zone unreachable for too long", now);
         }
     }
 }
@@ -510,12 +516,12 @@
     if (m_table.liveCount() < 2) {
         return true;
     }
-    return now - m_started >= aloneAfter && !m_health.heardSince(now - aloneAfter);
+    return now - m_started >= aloneTimeout && !m_health.probeAnsweredSince(now - aloneTimeout);
 }
 
-void gossip_protocol::greetContacts(time_point now)
+void gossip_protocol::pingContacts(time_point now)
 {
-    if (!due(m_nextGreeting, alone(now) ? m_options.joinPeriod : m_options.rejoinPeriod, now)) {
+    if (!advanceIfDue(m_nextContactPing, alone(now) ? m_options.joinPeriod : m_options.rejoinPeriod, now)) {
         return;
     }
     std::vector<std::string> contacts;
@@ -524,12 +530,12 @@
             contacts.push_back(contact);
         }
     }
-    constexpr std::size_t greetedAtOnce = 3;
-    for (std::size_t i = 0; i < greetedAtOnce && !contacts.empty(); ++i) {
+    constexpr std::size_t contactsPerRound = 3;
+    for (std::size_t i = 0; i < contactsPerRound && !contacts.empty(); ++i) {
         auto chosen = contacts.begin() + static_cast<std::ptrdiff_t>(m_hooks.random(contacts.size()));
-        gossip_message greeting;
-        greeting.updates.push_back(m_table.updateOf(m_table.self().id, now));
-        send(*chosen, std::move(greeting), now);
+        gossip_message ping;
+        ping.updates.push_back(m_table.makeUpdate(m_table.self().id, now));
+        send(*chosen, std::move(ping), now);
         contacts.erase(chosen);
     }
 }
@@ -537,60 +543,60 @@
 std::vector<std::uint64_t> gossip_protocol::pushTargets() const
 {
     const auto& ownZone = m_table.self().availabilityZone;
-    std::vector<std::string> farZones;
+    std::vector<std::string> otherZones;
     for (const auto& [zone, members] : m_table.zones()) {
-        if (zone != ownZone && !members.live.empty() && m_zones.reachable(zone)) {
-            farZones.push_back(zone);
+        if (zone != ownZone && !members.live.empty() && m_zoneReachability.reachable(zone)) {
+            otherZones.push_back(zone);
         }
     }
-    auto nearCount = farZones.empty() ? m_options.fanOut : m_options.fanOut - 1;
-    auto targets = pickSome(m_table.liveIn(ownZone), nearCount, m_table.self().id, m_hooks.random);
-    while (!farZones.empty() && targets.size() < m_options.fanOut) {
-        auto chosen = farZones.begin() + static_cast<std::ptrdiff_t>(m_hooks.random(farZones.size()));
-        auto far = pickSome(m_table.liveIn(*chosen), 1, 0, m_hooks.random);
-        targets.insert(targets.end(), far.begin(), far.end());
-        farZones.erase(chosen);
+    auto ownZoneCount = otherZones.empty() ? m_options.fanOut : m_options.fanOut - 1;
+    auto targets = pickRandom(m_table.liveIn(ownZone), ownZoneCount, m_table.self().id, m_hooks.random);
+    while (!otherZones.empty() && targets.size() < m_options.fanOut) {
+        auto chosen = otherZones.begin() + static_cast<std::ptrdiff_t>(m_hooks.random(otherZones.size()));
+        auto otherZoneMembers = pickRandom(m_table.liveIn(*chosen), 1, 0, m_hooks.random);
+        targets.insert(targets.end(), otherZoneMembers.begin(), otherZoneMembers.end());
+        otherZones.erase(chosen);
     }
     return targets;
 }
 
 void gossip_protocol::push(time_point now)
 {
-    if (!m_pushes.take(now)) {
+    if (!m_pushSchedule.takeToken(now)) {
         return;
     }
     gossip_message message;
     message.kind = gossip_kind::Push;
-    appendNews(message, now);
+    appendUpdates(message, now);
     for (auto target : pushTargets()) {
         send(m_table.find(target)->entry.address, message, now);
     }
 }
 
-void gossip_protocol::sendNews(std::uint64_t memberId, const std::string& address, gossip_message message, time_point now)
+void gossip_protocol::sendWithUpdates(std::uint64_t memberId, const std::string& address, gossip_message message, time_point now)
 {
     const auto* receiver = m_table.find(memberId);
-    // Whoever is suspected learns it, and can refute.
+    // Tells a receiver that counts as suspect or gone its state, so that it can refute.
     if (receiver && receiver->entry.state != member_state::Alive && receiver->entry.state != member_state::Draining) {
-        message.updates.push_back(m_table.updateOf(memberId, now));
+        message.updates.push_back(m_table.makeUpdate(memberId, now));
     }
-    appendNews(message, now);
+    appendUpdates(message, now);
     send(address, std::move(message), now);
 }
 
-void gossip_protocol::appendNews(gossip_message& message, time_point now)
+void gossip_protocol::appendUpdates(gossip_message& message, time_point now)
 {
     std::size_t used = 0;
     for (const auto& update : message.updates) {
         used += wireBytes(update);
     }
-    // An entry that is too long for any datagram travels alone in a longer one.
+    // An update that exceeds the limit is sent alone in a longer datagram.
     auto sizeOf = [&](std::uint64_t id) {
-        return m_table.find(id) ? std::min(wireBytes(m_table.updateOf(id, now)), updateBytesPerDatagram) : 0;
+        return m_table.find(id) ? std::min(wireBytes(m_table.makeUpdate(id, now)), updateBytesPerDatagram) : 0;
     };
-    for (auto memberId : m_news.take(updateBytesPerDatagram - std::min(used, updateBytesPerDatagram), sizeOf)) {
+    for (auto memberId : m_updateQueue.take(updateBytesPerDatagram - std::min(used, updateBytesPerDatagram), sizeOf)) {
         if (m_table.find(memberId)) {
-            message.updates.push_back(m_table.updateOf(memberId, now));
+            message.updates.push_back(m_table.makeUpdate(memberId, now));
         }
     }
 }
@@ -615,10 +621,10 @@
     }
     const auto& zone = target->entry.availabilityZone;
     if (answered) {
-        m_zones.answered(zone, now);
+        m_zoneReachability.recordAnswer(zone, now);
         return;
     }
-    m_zones.unanswered(zone, memberId, m_table.liveIn(zone).size(), now);
+    m_zoneReachability.recordFailure(zone, memberId, m_table.liveIn(zone).size(), now);
 }
 
 bool gossip_protocol::reachable(const member& entry) const
@@ -626,17 +632,17 @@
     if (entry.id == m_table.self().id) {
         return true;
     }
-    auto unanswered = m_unanswered.find(entry.id);
-    bool answers = unanswered == m_unanswered.end() || unanswered->second < unreachableAfter;
-    return answers && m_zones.reachable(entry.availabilityZone);
+    auto failures = m_consecutiveFailures.find(entry.id);
+    bool answers = failures == m_consecutiveFailures.end() || failures->second < failuresUntilUnreachable;
+    return answers && m_zoneReachability.reachable(entry.availabilityZone);
 }
 
 member_list gossip_protocol::snapshot() const
 {
     auto members = std::make_shared<std::vector<member>>();
     members->reserve(m_table.liveCount());
-    for (const auto& [zone, inZone] : m_table.zones()) {
-        for (auto memberId : inZone.live) {
+    for (const auto& [zone, zoneMembers] : m_table.zones()) {
+        for (auto memberId : zoneMembers.live) {
             members->push_back(m_table.find(memberId)->entry);
             members->back().reachable = reachable(members->back());
         }
--- a/Source/membership/local_health.cpp
+++ b/Source/membership/local_health.cpp
@@ -20,12 +20,12 @@
     m_score -= m_score > 0 ? 1 : 0;
 }
 
-std::chrono::milliseconds local_health::stretch(std::chrono::milliseconds time) const
+std::chrono::milliseconds local_health::scale(std::chrono::milliseconds time) const
 {
     return time * (1 + m_score);
 }
 
-void local_health::paused(time_point now)
+void local_health::recordPause(time_point now)
 {
     worsen();
     ++m_pauses;
@@ -33,17 +33,17 @@
     m_pausedAt = now;
 }
 
-void local_health::answered(time_point sentAt, time_point)
+void local_health::recordAnswer(time_point sentAt, time_point)
 {
-    m_answeredSentAt = std::max(m_answeredSentAt, sentAt);
+    m_lastAnsweredSentAt = std::max(m_lastAnsweredSentAt, sentAt);
     if (sentAt >= m_pausedAt) {
         m_trusted = true;
     }
 }
 
-bool local_health::heardSince(time_point start) const
+bool local_health::probeAnsweredSince(time_point start) const
 {
-    return m_answeredSentAt >= start;
+    return m_lastAnsweredSentAt >= start;
 }
 
 }
--- a/Source/membership/local_health.h
+++ b/Source/membership/local_health.h
@@ -5,27 +5,30 @@
 
 namespace vanillashunt {
 
-// How far this node trusts its own view of others. A node that was paused, or
-// that nobody answers, is itself the likelier culprit.
+// How far this node trusts its own view of other members, similar to the local
+// health multiplier of Lifeguard. When this node was paused, or when nobody answers
+// it, the fault is more likely its own.
 class local_health {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
+    // Raises the score, up to a maximum.
     void worsen();
+    // Lowers the score, down to 0.
     void improve();
 
-    // Stretches a time by the score.
-    std::chrono::milliseconds stretch(std::chrono::milliseconds) const;
+    // Returns the time multiplied by 1 plus the score.
+    std::chrono::milliseconds scale(std::chrono::milliseconds) const;
 
-    // Notes that this node did not run for a while.
-    void paused(time_point now);
-    // Notes an answer to an own probe that was sent at the time given.
-    void answered(time_point sentAt, time_point now);
+    // Records that this process did not run for a while.
+    void recordPause(time_point now);
+    // Records an answer to a probe that this node sent at the given time.
+    void recordAnswer(time_point sentAt, time_point now);
 
-    // Whether an answer has come since the last pause.
+    // Whether a probe sent after the last pause has been answered.
     bool trusted() const { return m_trusted; }
-    // Whether some probe sent since then was answered.
-    bool heardSince(time_point) const;
+    // Whether a probe sent at that time or later has been answered.
+    bool probeAnsweredSince(time_point) const;
 
     std::uint32_t score() const { return m_score; }
     std::uint64_t pauses() const { return m_pauses; }
@@ -35,7 +38,7 @@
     std::uint64_t m_pauses = 0;
     bool m_trusted = true;
     time_point m_pausedAt;
-    time_point m_answeredSentAt;
+    time_point m_lastAnsweredSentAt;
 };
 
 }
--- a/Source/membership/member_table.cpp
+++ b/Source/membership/member_table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // Of two entries with the same version the one with the higher rank is right.
-    int rank(member_state state)
+    // Of two entries with the same version, the one with the higher precedence wins.
+    int statePrecedence(member_state state)
     {
         switch (state) {
         case member_state::Alive:
@@ -38,7 +38,7 @@
         }
     }
 
-    std::chrono::steady_clock::time_point startOf(const member& entry)
+    std::chrono::steady_clock::time_point processStart(const member& entry)
     {
         return entry.uptimeReceived - entry.uptime;
     }
@@ -65,13 +65,13 @@
 
 void member_table::merge(const member_update& update, const std::string& reason, time_point now)
 {
-    if (update.entry.id == m_selfId || update.entry.id == 0 || !isNews(update)) {
+    if (update.entry.id == m_selfId || update.entry.id == 0 || !isNewer(update)) {
         return;
     }
     store(update, reason, now);
 }
 
-bool member_table::isNews(const member_update& update) const
+bool member_table::isNewer(const member_update& update) const
 {
     auto state = update.entry.state;
     auto found = m_records.find(update.entry.id);
@@ -83,18 +83,18 @@
         return false;
     }
     if (update.entry.version != known.entry.version) {
-        // A bare suspicion of an entry that is not known yet waits for the entry.
+        // A live state is usable only together with the entry of its version.
         bool usable = update.whole || !isLive(state);
         return usable && update.entry.version > known.entry.version;
     }
-    return rank(state) > rank(known.entry.state);
+    return statePrecedence(state) > statePrecedence(known.entry.state);
 }
 
 void member_table::store(const member_update& update, const std::string& reason, time_point now)
 {
     auto& record = m_records[update.entry.id];
     if (record.whole && isLive(record.entry.state)) {
-        leave(record.entry);
+        removeLive(record.entry);
     }
     bool wasLive = record.whole && isLive(record.entry.state);
     bool wasTombstone = record.entry.id != 0 && !isLive(record.entry.state);
@@ -110,35 +110,35 @@
     record.reason = reason;
     record.changed = now;
     if (isLive(record.entry.state)) {
-        enter(record.entry);
+        addLive(record.entry);
     } else if (!wasTombstone) {
         m_tombstones.push_back(record.entry.id);
     }
-    changed(record, now);
+    notifyChanged(record, now);
     if (isLive(record.entry.state) && !wasLive) {
-        supersede(record.entry.id, now);
+        retireDuplicates(record.entry.id, now);
     }
 }
 
-void member_table::supersede(std::uint64_t memberId, time_point now)
+void member_table::retireDuplicates(std::uint64_t memberId, time_point now)
 {
     const auto entry = m_records.at(memberId).entry;
-    for (auto* index : { &m_byName, &m_byAddress }) {
-        auto& holder = (*index)[index == &m_byName ? nameKey(entry) : entry.address];
-        auto known = m_records.find(holder);
-        if (holder != memberId && known != m_records.end() && isLive(known->second.entry.state)) {
-            retireOlder(holder, memberId, now);
+    for (auto* index : { &m_idByName, &m_idByAddress }) {
+        auto& owner = (*index)[index == &m_idByName ? nameKey(entry) : entry.address];
+        auto known = m_records.find(owner);
+        if (owner != memberId && known != m_records.end() && isLive(known->second.entry.state)) {
+            retireOlder(owner, memberId, now);
         }
         if (isLive(m_records.at(memberId).entry.state)) {
-            holder = memberId;
+            owner = memberId;
         }
     }
 }
 
-// The same name or address belongs to the process that started last.
+// A name or an address belongs to the process that started last.
 void member_table::retireOlder(std::uint64_t first, std::uint64_t second, time_point now)
 {
-    bool firstIsOlder = startOf(m_records.at(first).entry) < startOf(m_records.at(second).entry);
+    bool firstIsOlder = processStart(m_records.at(first).entry) < processStart(m_records.at(second).entry);
     auto older = firstIsOlder ? first : second;
     if (older == m_selfId) {
         return;
@@ -146,10 +146,10 @@
     setState(m_records.at(older), member_state::Left, "replaced by a newer process", now);
 }
 
-void member_table::judge(std::uint64_t memberId, member_state state, const std::string& reason, time_point now)
+void member_table::declareState(std::uint64_t memberId, member_state state, const std::string& reason, time_point now)
 {
     auto found = m_records.find(memberId);
-    if (memberId == m_selfId || found == m_records.end() || rank(state) <= rank(found->second.entry.state)) {
+    if (memberId == m_selfId || found == m_records.end() || statePrecedence(state) <= statePrecedence(found->second.entry.state)) {
         return;
     }
     setState(found->second, state, reason, now);
@@ -164,7 +164,7 @@
     store(update, reason, now);
 }
 
-void member_table::enter(const member& entry)
+void member_table::addLive(const member& entry)
 {
     auto& zone = m_zones[entry.availabilityZone];
     zone.live.push_back(entry.id);
@@ -172,7 +172,7 @@
     ++m_liveCount;
 }
 
-void member_table::leave(const member& entry)
+void member_table::removeLive(const member& entry)
 {
     auto& zone = m_zones[entry.availabilityZone];
     zone.live.erase(std::remove(zone.live.begin(), zone.live.end(), entry.id), zone.live.end());
@@ -180,15 +180,15 @@
     --m_liveCount;
 }
 
-void member_table::changed(const member_record& record, time_point now)
+void member_table::notifyChanged(const member_record& record, time_point now)
 {
     m_lastChange = now;
     m_changeHook(record.entry.id);
 }
 
-void member_table::forgetTombstones(time_point now)
+void member_table::expireTombstones(time_point now)
 {
-    auto time = m_options.keepsTombstones ? m_options.tombstoneTime : std::chrono::milliseconds(0);
+    auto lifetime = m_options.keepsTombstones ? m_options.tombstoneLifetime : std::chrono::milliseconds(0);
     auto count = m_tombstones.size();
     for (std::size_t i = 0; i < count; ++i) {
         auto memberId = m_tombstones.front();
@@ -197,9 +197,9 @@
         if (found == m_records.end() || isLive(found->second.entry.state)) {
             continue;
         }
-        if (now - found->second.changed >= time) {
-            eraseFromIndex(m_byName, nameKey(found->second.entry), memberId);
-            eraseFromIndex(m_byAddress, found->second.entry.address, memberId);
+        if (now - found->second.changed >= lifetime) {
+            eraseFromIndex(m_idByName, nameKey(found->second.entry), memberId);
+            eraseFromIndex(m_idByAddress, found->second.entry.address, memberId);
             m_records.erase(found);
             continue;
         }
@@ -220,7 +220,7 @@
     return found == m_zones.end() ? none : found->second.live;
 }
 
-std::vector<std::uint64_t> member_table::inBucket(const std::string& zone, std::size_t bucket) const
+std::vector<std::uint64_t> member_table::membersInBucket(const std::string& zone, std::size_t bucket) const
 {
     std::vector<std::uint64_t> members;
     for (auto memberId : liveIn(zone)) {
@@ -239,8 +239,8 @@
 
 bool member_table::hasLiveAddress(const std::string& address) const
 {
-    auto holder = m_byAddress.find(address);
-    const auto* record = holder == m_byAddress.end() ? nullptr : find(holder->second);
+    auto owner = m_idByAddress.find(address);
+    const auto* record = owner == m_idByAddress.end() ? nullptr : find(owner->second);
     return record && isLive(record->entry.state);
 }
 
@@ -255,7 +255,7 @@
     return sum;
 }
 
-member_update member_table::updateOf(std::uint64_t memberId, time_point now) const
+member_update member_table::makeUpdate(std::uint64_t memberId, time_point now) const
 {
     const auto& record = m_records.at(memberId);
     member_update update;
--- a/Source/membership/membership_options.h
+++ b/Source/membership/membership_options.h
@@ -5,53 +5,56 @@
 
 namespace vanillashunt {
 
-// The times and bounds of membership, and its rules, each of which a test may switch off.
+// Times, limits and rules of membership. Tests can switch off each rule.
 struct membership_options {
     using milliseconds = std::chrono::milliseconds;
 
-    // Between two probes of members of the own availability zone.
+    // Interval between two probes of members of this node's availability zone.
     milliseconds probePeriod { 500 };
-    // Until a direct probe is followed by indirect ones.
+    // Time for the answer to a direct ping, before relays are asked to ping the member.
     milliseconds probeTimeout { 300 };
-    // Until an indirect probe has failed as well.
+    // Time for the answer to an indirect ping.
     milliseconds indirectTimeout { 400 };
-    // How long a suspected member has to refute.
+    // Time for a suspected member to refute the suspicion.
     milliseconds suspicionTime { 2500 };
-    // In which each other availability zone is probed about once.
-    milliseconds zoneRound { 4000 };
-    // Between two pings of ticks from which on this node takes itself for paused.
+    // Approximate interval between two probes of the same other availability zone.
+    milliseconds zoneProbeInterval { 4000 };
+    // Gap between two ticks or messages from which on this node counts as paused.
     milliseconds pauseGap { 400 };
-    // Between the two pushes of one piece of news.
-    milliseconds secondPush { 200 };
-    // Without a change, after which a difference of digests is worth an exchange.
+    // Delay between the first and the second push of an update.
+    milliseconds secondPushDelay { 200 };
+    // Time without changes on both sides after which differing digests start a state
+    // exchange.
     milliseconds settleTime { 3000 };
-    // After which a difference is repaired although news is still under way.
-    milliseconds longestUnsettled { 10000 };
-    // Between two greetings to addresses that were given, while alone.
+    // Time since the last state exchange after which differing digests start another one
+    // even while updates are still spreading.
+    milliseconds maxUnsettledTime { 10000 };
+    // Interval between pings to the contact addresses while this node is alone.
     milliseconds joinPeriod { 1000 };
-    // The same while there are members; joins meshes that have grown apart.
+    // The same while there are other members; rejoins meshes after a partition.
     milliseconds rejoinPeriod { 30000 };
-    // How long it is remembered that a member is gone.
-    milliseconds tombstoneTime { std::chrono::hours(1) };
-    // After which the members of an unreachable zone are taken for dead.
+    // How long a member that left or died is kept as a tombstone.
+    milliseconds tombstoneLifetime { std::chrono::hours(1) };
+    // Time after which the members of an unreachable zone are declared dead.
     milliseconds unreachableLimit { std::chrono::hours(1) };
 
-    // Members that a push goes to.
+    // Number of members that a push is sent to.
     std::size_t fanOut = 3;
-    // Members that probe on behalf of another.
-    std::size_t helpers = 3;
-    // Zones with fewer live members are judged by the other zones too.
-    std::size_t smallZone = 3;
+    // Number of members that are asked to ping a member that did not answer.
+    std::size_t relayCount = 3;
+    // In zones with fewer live members, other zones may declare members dead too.
+    std::size_t smallZoneSize = 3;
 
-    // Answer a suspicion of oneself by a higher version.
+    // Refute a suspicion of this node by raising its version.
     bool refutes = true;
-    // Doubt oneself before others after a pause, and while nobody answers.
-    bool doubtsItself = true;
-    // Keep the reachability of a zone apart from the death of its members.
-    bool zonesApart = true;
-    // Repair by comparison of digests what pushed news has missed.
+    // Do not suspect others after a pause of this node or while nobody answers it.
+    bool checksOwnHealth = true;
+    // Keep the reachability of a zone separate from the death of its members: an
+    // unreachable zone alone is no reason to declare them dead.
+    bool separatesZoneReachability = true;
+    // Compare digests to find and repair updates that pushes have missed.
     bool comparesDigests = true;
-    // Remember that a member is gone.
+    // Keep tombstones of members that left or died.
     bool keepsTombstones = true;
 };
 
--- a/Source/membership/probe_schedule.cpp
+++ b/Source/membership/probe_schedule.cpp
@@ -12,7 +12,7 @@
 std::optional<std::uint64_t> probe_schedule::next(const std::vector<std::uint64_t>& candidates)
 {
     if (m_order.empty()) {
-        m_order = pickSome(candidates, candidates.size(), 0, m_random);
+        m_order = pickRandom(candidates, candidates.size(), 0, m_random);
     }
     while (!m_order.empty()) {
         auto chosen = m_order.back();
@@ -26,11 +26,11 @@
 
 void probe_schedule::probeAgain(std::uint64_t memberId)
 {
-    auto place = m_order.empty() ? m_order.end() : m_order.end() - 1;
-    m_order.insert(place, memberId);
+    auto position = m_order.empty() ? m_order.end() : m_order.end() - 1;
+    m_order.insert(position, memberId);
 }
 
-std::vector<std::uint64_t> pickSome(std::vector<std::uint64_t> candidates, std::size_t count, std::uint64_t excluded, const random_hook& random)
+std::vector<std::uint64_t> pickRandom(std::vector<std::uint64_t> candidates, std::size_t count, std::uint64_t excluded, const random_hook& random)
 {
     candidates.erase(std::remove(candidates.begin(), candidates.end(), excluded), candidates.end());
     count = std::min(count, candidates.size());
--- a/Source/membership/probe_schedule.h
+++ b/Source/membership/probe_schedule.h
@@ -11,16 +11,16 @@
 // Returns a random number below its argument.
 using random_hook = std::function<std::uint64_t(std::uint64_t bound)>;
 
-// Whom to probe next: everyone once in random order, then everyone again, so
-// that the time to the first probe of a dead member is bounded.
+// Chooses the member to probe next: each one once in random order, then all again
+// in a new order. This bounds the time until a dead member is probed.
 class probe_schedule {
 public:
     explicit probe_schedule(random_hook);
 
-    // Returns nothing where there is no candidate.
+    // Returns nothing if no candidate is left in this round.
     std::optional<std::uint64_t> next(const std::vector<std::uint64_t>& candidates);
 
-    // Lets a member come soon again, but not before another one.
+    // Schedules a member again soon, after the next one if there is one.
     void probeAgain(std::uint64_t memberId);
 
 private:
@@ -28,7 +28,7 @@
     std::vector<std::uint64_t> m_order;
 };
 
-// Picks up to count different elements, none of them the one excluded.
-std::vector<std::uint64_t> pickSome(std::vector<std::uint64_t> candidates, std::size_t count, std::uint64_t excluded, const random_hook&);
+// Returns up to count different candidates in random order, without the excluded one.
+std::vector<std::uint64_t> pickRandom(std::vector<std::uint64_t> candidates, std::size_t count, std::uint64_t excluded, const random_hook&);
 
 }
--- a/Source/membership/push_schedule.cpp
+++ b/Source/membership/push_schedule.cpp
@@ -6,49 +6,49 @@
 
 namespace {
 
-    // Pushes that may follow each other at once, and how many more a second.
+    // Capacity of the token bucket, and tokens added each second.
     constexpr double pushBurst = 10;
     constexpr double pushesPerSecond = 4;
 
 }
 
-push_schedule::push_schedule(std::chrono::milliseconds secondPush, time_point now)
-    : m_secondPush(secondPush)
-    , m_allowance(pushBurst)
-    , m_refilled(now)
+push_schedule::push_schedule(std::chrono::milliseconds secondPushDelay, time_point now)
+    : m_secondPushDelay(secondPushDelay)
+    , m_tokens(pushBurst)
+    , m_lastRefill(now)
 {
 }
 
-void push_schedule::newsCame(time_point now)
+void push_schedule::updateQueued(time_point now)
 {
-    m_soon = true;
-    m_second = std::min(m_second, now + m_secondPush);
+    m_pending = true;
+    m_secondPushTime = std::min(m_secondPushTime, now + m_secondPushDelay);
 }
 
 void push_schedule::refill()
 {
-    m_allowance = pushBurst;
+    m_tokens = pushBurst;
 }
 
 bool push_schedule::takeDue(time_point now)
 {
-    if (!m_soon && now < m_second) {
+    if (!m_pending && now < m_secondPushTime) {
         return false;
     }
-    m_second = m_soon ? m_second : time_point::max();
+    m_secondPushTime = m_pending ? m_secondPushTime : time_point::max();
     return true;
 }
 
-bool push_schedule::take(time_point now)
+bool push_schedule::takeToken(time_point now)
 {
-    auto seconds = std::chrono::duration<double>(now - m_refilled).count();
-    m_allowance = std::min(pushBurst, m_allowance + seconds * pushesPerSecond);
-    m_refilled = now;
-    m_soon = m_allowance < 1;
-    if (!m_soon) {
-        m_allowance -= 1;
+    auto seconds = std::chrono::duration<double>(now - m_lastRefill).count();
+    m_tokens = std::min(pushBurst, m_tokens + seconds * pushesPerSecond);
+    m_lastRefill = now;
+    m_pending = m_tokens < 1;
+    if (!m_pending) {
+        m_tokens -= 1;
     }
-    return !m_soon;
+    return !m_pending;
 }
 
 }
--- a/Source/membership/push_schedule.h
+++ b/Source/membership/push_schedule.h
@@ -4,38 +4,40 @@
 
 namespace vanillashunt {
 
-// When a node pushes its news to others: as soon as it has some, once more a little
-// later, and within an allowance that keeps a storm of changes from filling the network.
+// When a node pushes its updates to others: as soon as there are some, and once more
+// after a delay. A token bucket limits the rate, so that many changes at once do not
+// flood the network.
 class push_schedule {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // The second push of a piece of news comes so much later than the first.
-    push_schedule(std::chrono::milliseconds secondPush, time_point now);
+    // The delay is between the first and the second push of an update.
+    push_schedule(std::chrono::milliseconds secondPushDelay, time_point now);
 
-    // There is news: push it soon, and again later.
-    void newsCame(time_point now);
+    // Schedules a push as soon as possible and a second one after the delay.
+    void updateQueued(time_point now);
 
-    // What is known already is to be pushed once more.
-    void repeatLater(time_point now) { m_second = now + m_secondPush; }
+    // Schedules one more push after the delay.
+    void scheduleRepeat(time_point now) { m_secondPushTime = now + m_secondPushDelay; }
 
-    // The next pushes are allowed whatever went before.
+    // Fills the token bucket.
     void refill();
 
-    bool isSoon() const { return m_soon; }
+    // Whether a push is to be sent as soon as possible.
+    bool isPending() const { return m_pending; }
 
-    // Whether the time for a push has come; asks for the second one only once.
+    // Returns whether a push is due; a due second push is reported only once.
     bool takeDue(time_point now);
 
-    // Takes one push from the allowance. Otherwise it stays due.
-    bool take(time_point now);
+    // Takes one token and returns true; without a token the push stays pending.
+    bool takeToken(time_point now);
 
 private:
-    std::chrono::milliseconds m_secondPush;
-    bool m_soon = false;
-    time_point m_second = time_point::max();
-    double m_allowance;
-    time_point m_refilled;
+    std::chrono::milliseconds m_secondPushDelay;
+    bool m_pending = false;
+    time_point m_secondPushTime = time_point::max();
+    double m_tokens;
+    time_point m_lastRefill;
 };
 
 }
--- a/Source/membership/relayed_pings.cpp
+++ b/Source/membership/relayed_pings.cpp
@@ -13,10 +13,10 @@
     return node ? std::optional(std::move(node.mapped())) : std::nullopt;
 }
 
-void relayed_pings::forget(std::chrono::steady_clock::time_point now)
+void relayed_pings::dropExpired(std::chrono::steady_clock::time_point now)
 {
-    for (auto at = m_pings.begin(); at != m_pings.end();) {
-        at = at->second.until < now ? m_pings.erase(at) : std::next(at);
+    for (auto it = m_pings.begin(); it != m_pings.end();) {
+        it = it->second.deadline < now ? m_pings.erase(it) : std::next(it);
     }
 }
 
--- a/Source/membership/relayed_pings.h
+++ b/Source/membership/relayed_pings.h
@@ -8,24 +8,28 @@
 
 namespace vanillashunt {
 
-// On whose behalf a ping was sent, and by which number the requester knows it.
+// A ping that this node has sent on behalf of another member.
 struct relayed_ping {
+    // Address of the member that asked for the ping.
     std::string requester;
+    // Sequence number of the requester's probe.
     std::uint32_t requesterSequence = 0;
-    // When the requester no longer waits for the answer.
-    std::chrono::steady_clock::time_point until;
+    // When the requester stops waiting for the answer.
+    std::chrono::steady_clock::time_point deadline;
 };
 
-// The pings that this node has sent for others and that are not answered yet.
+// The pings sent on behalf of other members and not answered yet, by this node's
+// sequence number.
 class relayed_pings {
 public:
     void add(std::uint32_t ownSequence, const relayed_ping&);
 
-    // The ping that this is the answer to, if it is one; it is forgotten with that.
+    // Removes and returns the ping with this sequence number; returns nothing if there
+    // is none.
     std::optional<relayed_ping> takeAnswered(std::uint32_t ownSequence);
 
-    // Drops those that nobody waits for any more.
-    void forget(std::chrono::steady_clock::time_point now);
+    // Drops the pings whose deadline has passed.
+    void dropExpired(std::chrono::steady_clock::time_point now);
 
 private:
     std::unordered_map<std::uint32_t, relayed_ping> m_pings;
--- a/Source/membership/state_exchange.cpp
+++ b/Source/membership/state_exchange.cpp
@@ -10,7 +10,7 @@
     constexpr std::size_t datagramsPerAnswer = 12;
     constexpr std::uint64_t allBuckets = ~0ULL;
 
-    std::uint64_t bit(std::size_t bucket)
+    std::uint64_t bucketBit(std::size_t bucket)
     {
         return 1ULL << bucket;
     }
@@ -99,7 +99,7 @@
             zones.push_back(hash.availabilityZone);
         }
     }
-    // The own zone goes first: it is the last element.
+    // Zones are taken from the back, so this node's own zone is moved there to go first.
     std::stable_partition(zones.begin(), zones.end(), [this](const std::string& zone) { return zone != m_table.self().availabilityZone; });
     compareNextZone(now);
 }
@@ -134,10 +134,10 @@
     }
     auto found = m_table.zones().find(message.availabilityZone);
     const zone_digest empty;
-    const auto& own = found == m_table.zones().end() ? empty.buckets() : found->second.digest.buckets();
+    const auto& ownBuckets = found == m_table.zones().end() ? empty.buckets() : found->second.digest.buckets();
     std::uint64_t mask = 0;
     for (std::size_t bucket = 0; bucket < bucketCount; ++bucket) {
-        mask |= own.at(bucket) == message.buckets[bucket] ? 0 : bit(bucket);
+        mask |= ownBuckets.at(bucket) == message.buckets[bucket] ? 0 : bucketBit(bucket);
     }
     sendEntries(message.senderAddress, message.availabilityZone, mask, true, now);
 }
@@ -152,12 +152,12 @@
     std::size_t bytes = 0;
     auto remaining = mask;
     for (std::size_t bucket = 0; bucket < bucketCount && datagrams < datagramsPerAnswer; ++bucket) {
-        if (!(mask & bit(bucket))) {
+        if (!(mask & bucketBit(bucket))) {
             continue;
         }
-        remaining &= ~bit(bucket);
-        for (auto memberId : m_table.inBucket(zone, bucket)) {
-            auto update = m_table.updateOf(memberId, now);
+        remaining &= ~bucketBit(bucket);
+        for (auto memberId : m_table.membersInBucket(zone, bucket)) {
+            auto update = m_table.makeUpdate(memberId, now);
             auto size = wireBytes(update);
             if (bytes + size > updateBytesPerDatagram) {
                 send(address, message);
@@ -191,11 +191,11 @@
         sendEntries(message.senderAddress, message.availabilityZone, message.bucketMask & ~message.remainingMask, false, now);
     }
     if (message.remainingMask != 0) {
-        gossip_message more;
-        more.kind = gossip_kind::Pull;
-        more.availabilityZone = message.availabilityZone;
-        more.bucketMask = message.remainingMask;
-        send(message.senderAddress, std::move(more));
+        gossip_message pull;
+        pull.kind = gossip_kind::Pull;
+        pull.availabilityZone = message.availabilityZone;
+        pull.bucketMask = message.remainingMask;
+        send(message.senderAddress, std::move(pull));
         return;
     }
     m_progress->zones.pop_back();
--- a/Source/membership/state_exchange.h
+++ b/Source/membership/state_exchange.h
@@ -17,35 +17,38 @@
     std::function<void(const gossip_message&, std::chrono::steady_clock::time_point now)> merge;
 };
 
-// Repairs what pushed news has missed: compares digests with one peer, zone by
-// zone and bucket by bucket, and exchanges the entries that differ. Every answer
-// is a bounded number of datagrams; the side that asked asks on.
+// Anti-entropy, which repairs what pushed updates have missed: compares digests with
+// one peer, zone by zone and bucket by bucket, and exchanges the entries of buckets that
+// differ. Each answer has a limited number of datagrams; the initiator pulls the rest.
 class state_exchange {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
+    // The table outlives the exchange.
     state_exchange(const member_table&, exchange_hooks);
 
-    // Starts with a peer, unless one is going on.
+    // Starts an exchange with a peer, unless one is in progress.
     void start(const std::string& address, time_point now);
 
-    // Takes a message of one of the kinds Digest, BucketDigest, Pull and Entries.
+    // Handles messages of the kinds Digest, BucketDigest, Pull and Entries; ignores others.
     void receive(const gossip_message&, time_point now);
 
-    // Gives up an exchange whose peer does not answer.
+    // Abandons the exchange if the peer has not answered in time.
     void tick(time_point now);
 
     bool inProgress() const { return m_progress.has_value(); }
-    // Exchanges that came to their end.
+    // Number of exchanges started by this node that were completed.
     std::uint64_t finished() const { return m_finished; }
+    // Number of exchanges given up because the peer did not answer.
     std::uint64_t abandoned() const { return m_abandoned; }
 
 private:
     struct progress {
         std::string address;
-        // Zones still to be compared; the last one is next or going on.
+        // Zones still to be compared; the last one is current or next.
         std::vector<std::string> zones;
-        // Whether the zone going on is unknown here, so that there is nothing to give.
+        // Whether no live member of the current zone is known here, so that there are no
+        // entries to send.
         bool pullOnly = false;
         time_point deadline;
     };
@@ -55,7 +58,7 @@
     void compareNextZone(time_point now);
     void bucketDigestReceived(const gossip_message&, time_point now);
     void entriesReceived(const gossip_message&, time_point now);
-    // Sends the entries of the buckets in the mask, as many as one answer may hold.
+    // Sends the entries of the buckets in the mask, up to the limit of one answer.
     void sendEntries(const std::string& address, const std::string& zone, std::uint64_t mask, bool isAnswer, time_point now);
     void send(const std::string& address, gossip_message);
 
--- a/Source/membership/suspicion_timers.cpp
+++ b/Source/membership/suspicion_timers.cpp
@@ -2,9 +2,9 @@
 
 namespace vanillashunt {
 
-void suspicion_timers::start(std::uint64_t memberId, std::chrono::milliseconds time, time_point now)
+void suspicion_timers::start(std::uint64_t memberId, std::chrono::milliseconds timeout, time_point now)
 {
-    m_suspicions.try_emplace(memberId, suspicion { memberId, now, now + time });
+    m_suspicions.try_emplace(memberId, suspicion { memberId, now, now + timeout });
 }
 
 void suspicion_timers::stop(std::uint64_t memberId)
@@ -12,11 +12,11 @@
     m_suspicions.erase(memberId);
 }
 
-void suspicion_timers::restart(std::chrono::milliseconds time, time_point now)
+void suspicion_timers::restart(std::chrono::milliseconds timeout, time_point now)
 {
     for (auto& [memberId, entry] : m_suspicions) {
         entry.since = now;
-        entry.deadline = now + time;
+        entry.deadline = now + timeout;
     }
 }
 
--- a/Source/membership/suspicion_timers.h
+++ b/Source/membership/suspicion_timers.h
@@ -7,7 +7,7 @@
 
 namespace vanillashunt {
 
-// Until when each suspected member has to refute.
+// The time limits within which suspected members can refute.
 class suspicion_timers {
 public:
     using time_point = std::chrono::steady_clock::time_point;
@@ -19,13 +19,14 @@
     };
 
     // Does nothing for a member that is suspected already.
-    void start(std::uint64_t memberId, std::chrono::milliseconds time, time_point now);
+    void start(std::uint64_t memberId, std::chrono::milliseconds timeout, time_point now);
     void stop(std::uint64_t memberId);
 
-    // Lets every suspicion begin anew: this node did not listen for a while.
-    void restart(std::chrono::milliseconds time, time_point now);
+    // Restarts every suspicion after a pause of this node, in which it may have missed
+    // refutations.
+    void restart(std::chrono::milliseconds timeout, time_point now);
 
-    // Returns those whose time is over; they stay until they are stopped.
+    // Returns the suspicions whose deadline has passed; they remain until stopped.
     std::vector<suspicion> expired(time_point now) const;
 
 private:
--- a/Source/membership/zone_digest.cpp
+++ b/Source/membership/zone_digest.cpp
@@ -11,8 +11,8 @@
 
 void zone_digest::toggle(const member& entry)
 {
-    std::array<std::uint64_t, 3> words { entry.id, entry.version, static_cast<std::uint64_t>(entry.state) };
-    m_buckets.at(bucketOf(entry.id)) ^= XXH3_64bits(words.data(), sizeof(words));
+    std::array<std::uint64_t, 3> fields { entry.id, entry.version, static_cast<std::uint64_t>(entry.state) };
+    m_buckets.at(bucketOf(entry.id)) ^= XXH3_64bits(fields.data(), sizeof(fields));
 }
 
 std::uint64_t zone_digest::hash() const
--- a/Source/membership/zone_digest.h
+++ b/Source/membership/zone_digest.h
@@ -10,13 +10,15 @@
 
 constexpr std::size_t bucketCount = 64;
 
+// Returns the bucket of a member: a hash of its id, below bucketCount.
 std::size_t bucketOf(std::uint64_t memberId);
 
-// Hashes over the live members of one availability zone, in buckets, kept up to
-// date with each change. Two nodes with the same hashes know the same.
+// Hashes over the live members of one availability zone, by bucket, updated
+// incrementally. Nodes with equal hashes have equal ids, versions and states of these
+// members.
 class zone_digest {
 public:
-    // Adds the member, or removes it when it was added before.
+    // Adds the entry, or removes it if it was added before: the hashes are combined by XOR.
     void toggle(const member&);
 
     std::uint64_t hash() const;
--- a/Source/membership/zone_reachability.cpp
+++ b/Source/membership/zone_reachability.cpp
@@ -6,24 +6,27 @@
 
 namespace {
 
-    constexpr std::size_t differentMembers = 3;
-    constexpr std::uint32_t fewestFailures = 2;
+    // Different members that have to fail to answer before a zone counts as unreachable;
+    // in a zone with fewer live members, all of them.
+    constexpr std::size_t minSilentMembers = 3;
+    // Failures that are needed in any case, also if the zone has a single live member.
+    constexpr std::uint32_t minFailures = 2;
 
 }
 
-void zone_reachability::answered(const std::string& zone, time_point)
+void zone_reachability::recordAnswer(const std::string& zone, time_point)
 {
     auto& state = m_zones[zone];
     m_changes += state.reachable ? 0 : 1;
     state = zone_state {};
 }
 
-void zone_reachability::unanswered(const std::string& zone, std::uint64_t memberId, std::size_t liveMembers, time_point now)
+void zone_reachability::recordFailure(const std::string& zone, std::uint64_t memberId, std::size_t liveMembers, time_point now)
 {
     auto& state = m_zones[zone];
-    state.unanswered.insert(memberId);
+    state.silentMembers.insert(memberId);
     ++state.failures;
-    if (!state.reachable || state.failures < fewestFailures || state.unanswered.size() < std::min(differentMembers, liveMembers)) {
+    if (!state.reachable || state.failures < minFailures || state.silentMembers.size() < std::min(minSilentMembers, liveMembers)) {
         return;
     }
     state.reachable = false;
--- a/Tests/MembershipRules/membership_cost_test.cpp
+++ b/Tests/MembershipRules/membership_cost_test.cpp
@@ -1,4 +1,4 @@
-#include "MembershipRules/gossip_world.h"
+#include "MembershipRules/gossip_simulation.h"
 #include "peer/gossip_codec.h"
 
 #include <gtest/gtest.h>
@@ -13,33 +13,34 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    // What one node may use of the net, in both directions, and of memory.
+    // Limits for one node: network traffic in both directions, and memory.
     constexpr double budgetBytesPerSecond = 7000;
     constexpr std::size_t budgetMegabytes = 64;
-    constexpr std::size_t datagramHeaders = 28;
+    // IPv4 and UDP headers.
+    constexpr std::size_t datagramHeaderBytes = 28;
     constexpr int fleetZones = 18;
     constexpr int fleetNodesPerZone = 372;
 
-    // Bytes per second, sent and received, of one node that has nothing to report.
-    double quietTraffic(int zones, int nodesPerZone)
+    // Returns the bytes per second, sent and received, of one node while nothing changes.
+    double idleTraffic(int zones, int nodesPerZone)
     {
-        gossip_world world(1);
+        gossip_simulation simulation(1);
         for (int i = 0; i < zones * nodesPerZone; ++i) {
-            world.add("node-" + std::to_string(i), "zone-" + std::to_string(i % zones));
+            simulation.add("node-" + std::to_string(i), "zone-" + std::to_string(i % zones));
         }
-        EXPECT_TRUE(world.runUntil([&] { return world.converged(); }, seconds(120)));
-        world.run(seconds(20));
-        world.datagrams = 0;
-        world.bytes = 0;
-        constexpr int measured = 30;
-        auto processor = std::clock();
-        world.run(seconds(measured));
-        double nodeSeconds = static_cast<double>(measured) * zones * nodesPerZone;
-        double datagrams = static_cast<double>(world.datagrams) / nodeSeconds;
-        double bytes = (static_cast<double>(world.bytes) + static_cast<double>(world.datagrams * datagramHeaders)) / nodeSeconds;
-        double microseconds = static_cast<double>(std::clock() - processor) * 1e6 / CLOCKS_PER_SEC / nodeSeconds;
+        EXPECT_TRUE(simulation.runUntil([&] { return simulation.converged(); }, seconds(120)));
+        simulation.run(seconds(20));
+        simulation.datagrams = 0;
+        simulation.bytes = 0;
+        constexpr int measuredSeconds = 30;
+        auto cpuStart = std::clock();
+        simulation.run(seconds(measuredSeconds));
+        double nodeSeconds = static_cast<double>(measuredSeconds) * zones * nodesPerZone;
+        double datagrams = static_cast<double>(simulation.datagrams) / nodeSeconds;
+        double bytes = (static_cast<double>(simulation.bytes) + static_cast<double>(simulation.datagrams * datagramHeaderBytes)) / nodeSeconds;
+        double microseconds = static_cast<double>(std::clock() - cpuStart) * 1e6 / CLOCKS_PER_SEC / nodeSeconds;
         std::cout << zones << " zones, " << zones * nodesPerZone << " nodes: each sends " << datagrams << " datagrams/s, " << bytes
-                  << " bytes/s with headers; " << microseconds << " us of processor per node and second, the test's net included\n";
+                  << " bytes/s with headers; " << microseconds << " us of CPU time per node and second, including the simulated network\n";
         return 2 * bytes;
     }
 
@@ -52,7 +53,7 @@
         return resident * 4096 / 1000000;
     }
 
-    gossip_message entryOf(int number)
+    gossip_message entryMessage(int number)
     {
         gossip_message message;
         message.kind = gossip_kind::Push;
@@ -73,20 +74,20 @@
 
 }
 
-TEST(MembershipCost, QuietTrafficStaysWithinTheBudget)
+TEST(MembershipCost, IdleTrafficStaysWithinBudget)
 {
-    EXPECT_LT(quietTraffic(3, 4), budgetBytesPerSecond);
-    EXPECT_LT(quietTraffic(3, 16), budgetBytesPerSecond);
-    EXPECT_LT(quietTraffic(6, 25), budgetBytesPerSecond);
+    EXPECT_LT(idleTraffic(3, 4), budgetBytesPerSecond);
+    EXPECT_LT(idleTraffic(3, 16), budgetBytesPerSecond);
+    EXPECT_LT(idleTraffic(6, 25), budgetBytesPerSecond);
     // As many zones as the fleet has, so that a node probes across zones as often.
-    EXPECT_LT(quietTraffic(fleetZones, 8), budgetBytesPerSecond);
+    EXPECT_LT(idleTraffic(fleetZones, 8), budgetBytesPerSecond);
 }
 
 TEST(MembershipCost, OneNodeHoldsTheWholeFleet)
 {
     auto before = residentMegabytes();
-    gossip_world::time_point now { std::chrono::hours(1) };
-    member self = entryOf(0).updates.front().entry;
+    gossip_simulation::time_point now { std::chrono::hours(1) };
+    member self = entryMessage(0).updates.front().entry;
     self.id = 1;
     std::mt19937_64 random(1);
     gossip_hooks hooks;
@@ -95,19 +96,19 @@
     gossip_protocol protocol(self, {}, hooks, now);
     std::size_t entryBytes = 0;
     for (int number = 1; number < fleetZones * fleetNodesPerZone; ++number) {
-        auto message = entryOf(number);
+        auto message = entryMessage(number);
         entryBytes += wireBytes(message.updates.front());
         protocol.receive(message, now);
     }
-    auto processor = std::clock();
+    auto cpuStart = std::clock();
     auto first = protocol.snapshot();
     auto second = protocol.snapshot();
-    auto snapshotTime = static_cast<double>(std::clock() - processor) / 2 * 1000 / CLOCKS_PER_SEC;
+    auto snapshotTime = static_cast<double>(std::clock() - cpuStart) / 2 * 1000 / CLOCKS_PER_SEC;
     constexpr int ticks = 1200;
-    processor = std::clock();
+    cpuStart = std::clock();
     for (int tick = 0; tick < ticks; ++tick) {
         now += milliseconds(50);
-        gossip_message ping = entryOf(1 + tick);
+        gossip_message ping = entryMessage(1 + tick);
         ping.kind = gossip_kind::Ping;
         ping.updates.clear();
         ping.targetId = 1;
@@ -115,12 +116,12 @@
         protocol.receive(ping, now);
         protocol.tick(now);
     }
-    auto tickTime = static_cast<double>(std::clock() - processor) * 1e6 / CLOCKS_PER_SEC / ticks;
-    auto grown = residentMegabytes() - before;
-    std::cout << first->size() << " members: " << entryBytes << " bytes of entries on the wire, " << grown << " MB with two snapshots, "
+    auto tickTime = static_cast<double>(std::clock() - cpuStart) * 1e6 / CLOCKS_PER_SEC / ticks;
+    auto growth = residentMegabytes() - before;
+    std::cout << first->size() << " members: " << entryBytes << " bytes of entries on the wire, " << growth << " MB with two snapshots, "
               << snapshotTime << " ms for a snapshot, " << tickTime << " us for a tick and an answered ping\n";
     EXPECT_EQ(second->size(), static_cast<std::size_t>(fleetZones * fleetNodesPerZone));
-    EXPECT_LT(grown, budgetMegabytes);
+    EXPECT_LT(growth, budgetMegabytes);
 }
 
 }
