--- a/Source/backend/backend_client.cpp
+++ b/Source/backend/backend_client.cpp
@@ -78,7 +78,7 @@
     auto request = backendRequest(call, contextText, remaining);
     return m_client.send(address, request, remaining, [handler = std::move(handler)](http_result result) {
         if (auto* failure = std::get_if<http_failure>(&result)) {
-            handler(answerWithout(0, 0, failureVerdict(*failure)));
+            handler(makeCallAnswer(0, 0, failureVerdict(*failure)));
             return;
         }
         handler(readResponse(std::move(std::get<http_response>(result))));
--- a/Source/backend/instance_answer.cpp
+++ b/Source/backend/instance_answer.cpp
@@ -15,25 +15,25 @@
 
 }
 
-bool answersRequest(const answer_marks& marks, const std::string& requestId)
+bool answersRequest(const answer_metadata& marks, const std::string& requestId)
 {
     return marks.requestId.empty() || marks.requestId == requestId;
 }
 
-call_answer judgeAnswer(instance_result result, const answer_marks& marks)
+call_answer judgeAnswer(instance_result result, const answer_metadata& marks)
 {
     if (const auto* failure = std::get_if<instance_failure>(&result)) {
         auto lost = verdict::mayHaveRun(verdict_reason::AnswerLost);
-        return answerWithout(0, 0, failure->sent ? lost : verdict::notRun(verdict_reason::BackendUnreachable));
+        return makeCallAnswer(0, 0, failure->sent ? lost : verdict::notRun(verdict_reason::BackendUnreachable));
     }
     auto& response = std::get<http_response>(result);
     if (marks.isNotExecuted || response.status == statusMisdirected) {
-        return answerWithout(0, 0, verdict::notRun(verdict_reason::BackendRefused));
+        return makeCallAnswer(0, 0, verdict::notRun(verdict_reason::BackendRefused));
     }
     bool isOwn = marks.isSealed && !marks.isEncoded && !marks.requestId.empty();
     if (isSuccess(response.status) && !isOwn) {
         // Bytes that are not signed are not the server's answer, whatever they look like.
-        return answerWithout(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost));
+        return makeCallAnswer(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost));
     }
     call_answer answer;
     answer.outcome = verdict::answered();
--- a/Source/call/call_answer.cpp
+++ b/Source/call/call_answer.cpp
@@ -2,7 +2,7 @@
 
 namespace vanillashunt {
 
-call_answer answerWithout(std::uint64_t callId, std::uint32_t attempt, const verdict& outcome)
+call_answer makeCallAnswer(std::uint64_t callId, std::uint32_t attempt, const verdict& outcome)
 {
     call_answer answer;
     answer.callId = callId;
--- a/Source/call/call_observation.h
+++ b/Source/call/call_observation.h
@@ -41,7 +41,7 @@
     std::string detail {};
     // With Finished: whether it was a whole request, that is, no onward call, its
     // HTTP status, and how long it took.
-    bool whole = false;
+    bool isEntryRequest = false;
     std::uint32_t status = 0;
     std::chrono::microseconds duration { 0 };
     decision_inputs inputs {};
--- a/Source/call/request_terms.h
+++ b/Source/call/request_metadata.h
@@ -12,7 +12,7 @@
 // What the headers of a platform say of requests and answers, whatever it calls them.
 
 // What a client says of a request beside its target and body.
-struct request_terms {
+struct request_metadata {
     // Names one attempt of the client.
     std::string requestId;
     // The id of the request that this one seems to be made for; whoever uses it has
@@ -27,7 +27,7 @@
 };
 
 // What the node tells its server of a request.
-struct server_terms {
+struct server_request_metadata {
     std::chrono::milliseconds remaining { 0 };
     // The only start of the server that may run it.
     std::string instanceId;
@@ -38,7 +38,7 @@
 };
 
 // What a server says of its answer.
-struct answer_marks {
+struct answer_metadata {
     // Empty if the answer names none.
     std::string requestId;
     // Whether the server signed the answer.
--- a/Source/node/call_actor.h
+++ b/Source/node/call_actor.h
@@ -29,7 +29,7 @@
     admission_policy policy = admission_policy::Full;
     std::uint64_t incarnation = 0;
     std::chrono::steady_clock::time_point started;
-    node_place place;
+    node_location place;
 };
 
 // Owns the calls in progress of one node, in both directions, and turns the
--- a/Source/node/routed_dump.cpp
+++ b/Source/node/routed_dump.cpp
@@ -35,7 +35,7 @@
     return calls;
 }
 
-Json::Value dumpTargets(const std::vector<target_standing>& targets)
+Json::Value dumpTargets(const std::vector<target_status>& targets)
 {
     Json::Value json(Json::arrayValue);
     for (const auto& each : targets) {
--- a/Source/node/routed_dump.h
+++ b/Source/node/routed_dump.h
@@ -32,7 +32,7 @@
 
 // How a node sees the targets that it has sent calls to: why a call goes where it goes. Apart
 // from the calls, which the metrics are read off each time that they are asked for.
-Json::Value dumpTargets(const std::vector<target_standing>&);
+Json::Value dumpTargets(const std::vector<target_status>&);
 
 node_gauges gaugesOf(const routed_parts&);
 
--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -82,7 +82,7 @@
     if (configuration->version <= version()) {
         return;
     }
-    m_organisations = organisation_book(configuration);
+    m_organisations = organisation_directory(configuration);
     m_table = route_table(std::move(configuration));
     m_rotation.setRoutes(m_table.configuration().routes);
 }
@@ -229,7 +229,7 @@
 routed_entry::request_origin routed_entry::originOf(const entry_request& request, const route& found) const
 {
     request_origin result;
-    if (!m_organisations.asksForKeys()) {
+    if (!m_organisations.requiresKeys()) {
         result.maker = m_hooks.findParent(request);
         return result;
     }
@@ -254,7 +254,7 @@
         call_observation seen { call_decision::Finished, context, now };
         seen.outcome = why;
         seen.detail = message;
-        seen.whole = true;
+        seen.isEntryRequest = true;
         seen.status = status;
         seen.inputs.version = version();
         m_hooks.observed(seen);
@@ -276,9 +276,9 @@
     }
     auto passedOver = call.tried;
     passedOver.insert(passedOver.end(), call.full.begin(), call.full.end());
-    bool hasRoom = m_room.isLikely(call.request.service, now);
+    bool hasRoom = m_room.isFreeSlotLikely(call.request.service, now);
     auto chosen = m_router.choose({ call.request.service, std::move(passedOver), hasRoom }, now);
-    bool asksOthers = chosen && call.full.size() < mostFull && !m_router.knowsLoad(chosen->id, now) && hasRoom;
+    bool asksOthers = chosen && call.full.size() < mostFull && !m_router.reliesOnRecentLoad(chosen->id, now) && hasRoom;
     if (!chosen && !call.full.empty()) {
         chosen = m_router.choose({ call.request.service, call.tried, hasRoom }, now);
     }
@@ -292,7 +292,7 @@
 std::optional<member> routed_entry::chooseAgreed(entry_call& call)
 {
     call.request.refuseIfFull = false;
-    auto agreed = m_router.agreed(call.request.service, call.request.context.content.value);
+    auto agreed = m_router.chooseByKey(call.request.service, call.request.context.content.value);
     bool isTried = agreed && std::count(call.tried.begin(), call.tried.end(), agreed->id) != 0;
     return isTried ? std::nullopt : agreed;
 }
@@ -350,8 +350,8 @@
     call.attemptId = 0;
     auto latency = std::chrono::duration_cast<std::chrono::microseconds>(now - call.attemptStarted);
     route_outcome seen { answer.outcome, latency, answer.cut, answer.inFlight, answer.limit, answer.zoneCrossings };
-    if (answer.usualTime.count() > 0) {
-        seen.pace = m_paces.learn(call.request.context.requestClass, answer.usualTime);
+    if (answer.meanServiceTime.count() > 0) {
+        seen.pace = m_paces.learn(call.request.context.requestClass, answer.meanServiceTime);
     }
     m_router.finished(call.target, seen, now);
     // A node that answers tells its limit, also where its server lost the answer.
@@ -359,7 +359,7 @@
     m_hooks.ended(call.target, !nothingCameBack);
     if (answer.limit != 0) {
         bool hasNoRoom = answer.inFlight >= answer.limit || answer.outcome.reason == verdict_reason::NoFreeSlot;
-        m_room.answered(call.request.service, hasNoRoom, now);
+        m_room.recordAnswer(call.request.service, hasNoRoom, now);
     }
     if (answer.outcome.reason == verdict_reason::NoFreeSlot) {
         call.full.push_back(call.target);
@@ -550,7 +550,7 @@
     call_observation seen { decision, call.request.context, now };
     seen.outcome = outcome;
     seen.detail = detail;
-    seen.whole = call.parentRun == 0;
+    seen.isEntryRequest = call.parentRun == 0;
     seen.status = status;
     seen.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived);
     seen.inputs = { version(), call.entranceCut.cut, call.entranceCut.age };
--- a/Source/node/routed_target.cpp
+++ b/Source/node/routed_target.cpp
@@ -35,7 +35,7 @@
     if (replaced) {
         // Another start: what the gate has learnt of the last one does not hold.
         m_gate.setSlots(0, now);
-        m_pace.restart();
+        m_pace.reset();
     }
     bool startedAgain = replaced && isLaterStart(server->start, m_server->start);
     m_server = server;
@@ -67,7 +67,7 @@
     }
     for (auto id : ended) {
         m_hooks.cancelRun(id);
-        serverAnswered(id, answerWithout(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost)), now);
+        serverAnswered(id, makeCallAnswer(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost)), now);
     }
 }
 
@@ -151,7 +151,7 @@
     if (!m_balanceByPace || !m_server || m_server->start != start) {
         return;
     }
-    m_pace.told(load, m_server->slots, m_gate.inFlight(), now);
+    m_pace.updateLoad(load, m_server->slots, m_gate.inFlight(), now);
 }
 
 content_standing routed_target::standingOf(const call_request& request) const
@@ -185,7 +185,7 @@
         seen.inputs.cut = m_gate.cut();
         m_hooks.observed(seen);
     }
-    reply(entry, answerWithout(0, 0, why), now);
+    reply(entry, makeCallAnswer(0, 0, why), now);
 }
 
 void routed_target::cancel(std::uint64_t arrivalId, time_point now)
@@ -254,7 +254,7 @@
     answer.zoneCrossings = entry.zoneCrossings;
     answer.inFlight = m_gate.inFlight() + static_cast<std::uint32_t>(m_gate.waiting());
     answer.limit = m_gate.limit();
-    answer.usualTime = m_pace.usualTime(entry.request.context.requestClass, now).value_or(answer.usualTime);
+    answer.meanServiceTime = m_pace.meanServiceTime(entry.request.context.requestClass, now).value_or(answer.meanServiceTime);
     entry.replier(answer);
 }
 
@@ -350,7 +350,7 @@
     if (entry.started < m_warmFrom) {
         return;
     }
-    m_pace.ran(entry.request.context.requestClass, std::chrono::duration_cast<std::chrono::microseconds>(now - entry.started));
+    m_pace.recordRun(entry.request.context.requestClass, std::chrono::duration_cast<std::chrono::microseconds>(now - entry.started));
 }
 
 void routed_target::noteServed(const call_request& request)
--- a/Source/node/server_runs.cpp
+++ b/Source/node/server_runs.cpp
@@ -59,7 +59,7 @@
 void server_runs::ended(std::uint64_t runId, const server_start& start, instance_result result)
 {
     m_sent.erase(runId);
-    answer_marks marks;
+    answer_metadata marks;
     if (const auto* response = std::get_if<http_response>(&result)) {
         marks = readAnswerMarks(response->fields);
         if (response->status == statusMisdirected) {
--- a/Source/operator/node_metrics.cpp
+++ b/Source/operator/node_metrics.cpp
@@ -180,7 +180,7 @@
     case call_decision::Finished:
         break;
     }
-    if (!seen.whole) {
+    if (!seen.isEntryRequest) {
         return;
     }
     all.requests.of(seen.context, seen.outcome).Increment();
--- a/Source/peer/call_codec.cpp
+++ b/Source/peer/call_codec.cpp
@@ -118,10 +118,10 @@
         }
         // A server's field of that name would be taken for the node's.
         bool isTaken = !answer.fields.empty() && answer.fields.back().name == usualTimeField;
-        if (answer.usualTime.count() == 0 && !isTaken) {
+        if (answer.meanServiceTime.count() == 0 && !isTaken) {
             return std::nullopt;
         }
-        return http_field { usualTimeField, std::to_string(answer.usualTime.count()) };
+        return http_field { usualTimeField, std::to_string(answer.meanServiceTime.count()) };
     }
 
     void takeOwnField(call_answer& answer)
@@ -137,7 +137,7 @@
         if (ran) {
             std::int64_t microseconds = 0;
             std::from_chars(last.value.data(), last.value.data() + last.value.size(), microseconds);
-            answer.usualTime = std::clamp(std::chrono::microseconds(microseconds), std::chrono::microseconds(0), longestRemaining);
+            answer.meanServiceTime = std::clamp(std::chrono::microseconds(microseconds), std::chrono::microseconds(0), longestRemaining);
         } else {
             answer.successor = parseTicket(last.value);
         }
--- a/Source/peer/peer_client.cpp
+++ b/Source/peer/peer_client.cpp
@@ -178,7 +178,7 @@
             if (!client || m_connection.isClosed()) {
                 return;
             }
-            end(*client, answerWithout(m_callId, m_attempt, outcome), false);
+            end(*client, makeCallAnswer(m_callId, m_attempt, outcome), false);
         }
 
         std::weak_ptr<peer_client::state> m_client;
--- a/Source/routes/organisation_book.cpp
+++ b/Source/routes/organisation_directory.cpp
@@ -1,11 +1,11 @@
-#include "routes/organisation_book.h"
+#include "routes/organisation_directory.h"
 
 #include <algorithm>
 #include <iterator>
 
 namespace vanillashunt {
 
-organisation_book::organisation_book(route_snapshot configuration)
+organisation_directory::organisation_directory(route_snapshot configuration)
     : m_configuration(std::move(configuration))
 {
     for (const auto& each : m_configuration->organisations) {
@@ -18,13 +18,13 @@
     }
 }
 
-const organisation* organisation_book::findByKey(const std::string& key) const
+const organisation* organisation_directory::findByKey(const std::string& key) const
 {
     auto found = m_byKey.find(key);
     return found == m_byKey.end() ? nullptr : found->second;
 }
 
-organisation_rank organisation_book::rankOf(const organisation* each) const
+organisation_rank organisation_directory::rankOf(const organisation* each) const
 {
     organisation_rank rank;
     rank.count = static_cast<std::uint32_t>(std::max<std::size_t>(1, m_priorities.size()));
--- a/Source/routes/organisation_book.h
+++ b/Source/routes/organisation_directory.h
@@ -10,9 +10,9 @@
 namespace vanillashunt {
 
 // Finds the organisation of a request by its key.
-class organisation_book {
+class organisation_directory {
 public:
-    explicit organisation_book(route_snapshot);
+    explicit organisation_directory(route_snapshot);
 
     // Null for a key that none has.
     const organisation* findByKey(const std::string& key) const;
@@ -22,7 +22,7 @@
     organisation_rank rankOf(const organisation*) const;
 
     // Whether requests need a key, but on public routes.
-    bool asksForKeys() const { return m_configuration->asksForKeys; }
+    bool requiresKeys() const { return m_configuration->requiresKeys; }
 
 private:
     // Keeps alive what the entries point to.
--- a/Source/routes/route_configuration.h
+++ b/Source/routes/route_configuration.h
@@ -65,7 +65,7 @@
     std::vector<route_service> services;
     std::vector<organisation> organisations;
     // Whether the operator tells organisations apart, so that requests need a key.
-    bool asksForKeys = false;
+    bool requiresKeys = false;
     client_limits limits;
 };
 
--- a/Source/routing/service_room.cpp
+++ b/Source/routing/free_slot_estimator.cpp
@@ -1,4 +1,4 @@
-#include "routing/service_room.h"
+#include "routing/free_slot_estimator.h"
 
 namespace vanillashunt {
 
@@ -17,12 +17,12 @@
 
 }
 
-void service_room::answered(const std::string& service, bool full, time_point now)
+void free_slot_estimator::recordAnswer(const std::string& service, bool full, time_point now)
 {
     m_fullParts.try_emplace(service, halfLife).first->second.add(full ? 1 : 0, answerWeight, now);
 }
 
-bool service_room::isLikely(const std::string& service, time_point now) const
+bool free_slot_estimator::isFreeSlotLikely(const std::string& service, time_point now) const
 {
     auto found = m_fullParts.find(service);
     return found == m_fullParts.end() || found->second.get(now) < mostlyFull;
--- a/Source/routing/relative_pace.cpp
+++ b/Source/routing/relative_pace.cpp
@@ -16,9 +16,9 @@
 
 }
 
-double relative_pace::learn(const std::string& requestClass, std::chrono::microseconds usualTime)
+double relative_pace::learn(const std::string& requestClass, std::chrono::microseconds meanServiceTime)
 {
-    auto told = std::max(1.0, static_cast<double>(usualTime.count()));
+    auto told = std::max(1.0, static_cast<double>(meanServiceTime.count()));
     auto found = m_means.find(requestClass);
     if (found == m_means.end()) {
         if (m_means.size() < mostClasses) {
--- a/Source/routing/relative_pace.h
+++ b/Source/routing/relative_pace.h
@@ -12,7 +12,7 @@
 class relative_pace {
 public:
     // A target told its usual time for the class. Returns how much longer that is than the mean.
-    double learn(const std::string& requestClass, std::chrono::microseconds usualTime);
+    double learn(const std::string& requestClass, std::chrono::microseconds meanServiceTime);
 
 private:
     // Mean of what was told, in microseconds, by class.
--- a/Source/routing/router.cpp
+++ b/Source/routing/router.cpp
@@ -45,7 +45,7 @@
 
 }
 
-router::router(node_place place, chance_hook chance)
+router::router(node_location place, chance_hook chance)
     : m_place(std::move(place))
     , m_chance(std::move(chance))
     , m_members(std::make_shared<std::vector<member>>())
@@ -217,7 +217,7 @@
     return *chosen->target;
 }
 
-std::optional<member> router::agreed(const std::string& service, std::uint64_t key) const
+std::optional<member> router::chooseByKey(const std::string& service, std::uint64_t key) const
 {
     auto found = m_byService.find(service);
     if (found == m_byService.end()) {
@@ -242,15 +242,15 @@
     return *found->second;
 }
 
-bool router::knowsLoad(std::uint64_t memberId, std::chrono::steady_clock::time_point now) const
+bool router::reliesOnRecentLoad(std::uint64_t memberId, std::chrono::steady_clock::time_point now) const
 {
     auto view = m_views.find(memberId);
     return view != m_views.end() && view->second.toldLoadLately(now) && !view->second.pace();
 }
 
-std::vector<target_standing> router::standings(std::chrono::steady_clock::time_point now) const
+std::vector<target_status> router::targetStatuses(std::chrono::steady_clock::time_point now) const
 {
-    std::vector<target_standing> result;
+    std::vector<target_status> result;
     for (const auto& [id, view] : m_views) {
         auto found = m_byId.find(id);
         if (found == m_byId.end()) {
--- a/Source/routing/router.h
+++ b/Source/routing/router.h
@@ -23,7 +23,7 @@
 };
 
 // How a node sees one member that it has sent calls to.
-struct target_standing {
+struct target_status {
     std::string name;
     std::string service;
     double load = 0;
@@ -33,7 +33,7 @@
 };
 
 // Where a node stands, for the distance to the members.
-struct node_place {
+struct node_location {
     std::string availabilityZone;
     std::string region;
 };
@@ -49,7 +49,7 @@
     // Returns a random number below its argument.
     using chance_hook = std::function<std::uint64_t(std::uint64_t bound)>;
 
-    router(node_place, chance_hook);
+    router(node_location, chance_hook);
 
     void setMembers(member_list, std::chrono::steady_clock::time_point now);
 
@@ -58,16 +58,16 @@
 
     // The member of the service that all nodes agree on for the key, as far as they know the
     // same members; nothing where none can be reached.
-    std::optional<member> agreed(const std::string& service, std::uint64_t key) const;
+    std::optional<member> chooseByKey(const std::string& service, std::uint64_t key) const;
 
     // Returns nothing for an id that is not, or no longer, a member's.
     std::optional<member> find(std::uint64_t memberId) const;
 
     // Whether the member told its load a moment ago and was chosen for it. Where members tell
     // their pace a fast one is chosen also when it is nearly full, and slow for a moment.
-    bool knowsLoad(std::uint64_t memberId, std::chrono::steady_clock::time_point now) const;
+    bool reliesOnRecentLoad(std::uint64_t memberId, std::chrono::steady_clock::time_point now) const;
 
-    std::vector<target_standing> standings(std::chrono::steady_clock::time_point now) const;
+    std::vector<target_status> targetStatuses(std::chrono::steady_clock::time_point now) const;
 
     // Whether any member, in whatever state, announces the service.
     bool knowsService(const std::string& service) const;
@@ -97,7 +97,7 @@
     const candidate& drawByCapacity(const std::vector<candidate>&) const;
     std::optional<candidate> chooseNearest(bool avoided, const route_request&, std::chrono::steady_clock::time_point now) const;
 
-    node_place m_place;
+    node_location m_place;
     chance_hook m_chance;
     member_list m_members;
     std::unordered_map<std::string, std::vector<const member*>> m_byService;
--- a/Source/routing/server_pace.cpp
+++ b/Source/routing/server_pace.cpp
@@ -30,7 +30,7 @@
 
 }
 
-void server_pace::restart()
+void server_pace::reset()
 {
     m_times.clear();
     m_told.reset();
@@ -45,7 +45,7 @@
     return ownRunning >= leastRunningToCompare && (load.running + load.waiting) * runningPartTold < ownRunning;
 }
 
-void server_pace::told(const server_load& load, std::uint32_t announcedSlots, std::uint32_t ownRunning, time_point now)
+void server_pace::updateLoad(const server_load& load, std::uint32_t announcedSlots, std::uint32_t ownRunning, time_point now)
 {
     if (contradicts(load, announcedSlots, ownRunning)) {
         ++m_contradictions;
@@ -61,7 +61,7 @@
     m_told = now;
 }
 
-void server_pace::ran(const std::string& requestClass, std::chrono::microseconds duration)
+void server_pace::recordRun(const std::string& requestClass, std::chrono::microseconds duration)
 {
     auto found = m_times.find(requestClass);
     if (found == m_times.end()) {
@@ -91,7 +91,7 @@
     return slowdown(now) >= slowFrom;
 }
 
-std::optional<std::chrono::microseconds> server_pace::usualTime(const std::string& requestClass, time_point now) const
+std::optional<std::chrono::microseconds> server_pace::meanServiceTime(const std::string& requestClass, time_point now) const
 {
     auto found = m_times.find(requestClass);
     if (!isKnown(now) || found == m_times.end() || found->second.runs < leastRuns) {
--- a/Source/routing/server_pace.h
+++ b/Source/routing/server_pace.h
@@ -19,14 +19,14 @@
     using time_point = std::chrono::steady_clock::time_point;
 
     // Another start of the server: nothing that was learnt holds.
-    void restart();
+    void reset();
 
     // The server told its load. The node itself knows the slots that it announced and the calls
     // that it has with it; figures that contradict these are not believed.
-    void told(const server_load&, std::uint32_t announcedSlots, std::uint32_t ownRunning, time_point now);
+    void updateLoad(const server_load&, std::uint32_t announcedSlots, std::uint32_t ownRunning, time_point now);
 
     // A call of the class has run at the server.
-    void ran(const std::string& requestClass, std::chrono::microseconds);
+    void recordRun(const std::string& requestClass, std::chrono::microseconds);
 
     // Whether the server has told of its speed, so that what is known here is for others to use.
     bool isKnown(time_point now) const;
@@ -39,7 +39,7 @@
 
     // The time that a call of the class takes here; nothing before some have run, or where the
     // server does not tell its speed.
-    std::optional<std::chrono::microseconds> usualTime(const std::string& requestClass, time_point now) const;
+    std::optional<std::chrono::microseconds> meanServiceTime(const std::string& requestClass, time_point now) const;
 
     // Figures that contradicted what the node itself knows.
     std::uint64_t contradictions() const { return m_contradictions; }
--- a/Tests/MetricsPage/metrics_page_test.cpp
+++ b/Tests/MetricsPage/metrics_page_test.cpp
@@ -52,7 +52,7 @@
     {
         call_observation seen { call_decision::Finished, context, {} };
         seen.outcome = outcome;
-        seen.whole = true;
+        seen.isEntryRequest = true;
         seen.status = status;
         seen.duration = std::chrono::milliseconds(30);
         return seen;
@@ -99,7 +99,7 @@
 {
     node_metrics metrics({});
     auto onward = finished({}, verdict::answered(), 200);
-    onward.whole = false;
+    onward.isEntryRequest = false;
     metrics.observe(onward);
     EXPECT_EQ(metrics.text().find("vanillashunt_requests_total{"), std::string::npos);
 }
--- a/Tests/OrganisationKeys/keys_at_entry_test.cpp
+++ b/Tests/OrganisationKeys/keys_at_entry_test.cpp
@@ -29,7 +29,7 @@
             : m_entry({ { "a", "" }, "threads", {} }, hooks(), {})
         {
             configuration->version = 1;
-            configuration->asksForKeys = true;
+            configuration->requiresKeys = true;
             configuration->routes = { routeTo("/read/", 2), routeTo("/confirm/", 0), routeTo("/open/", 2) };
             configuration->routes[2].isPublic = true;
             configuration->organisations = { { "large", { "key-large", "key-old" }, 1, {} }, { "first", { "key-first" }, 0, {} } };
@@ -116,7 +116,7 @@
 {
     keyed_world world;
     world.configuration->organisations.clear();
-    world.configuration->asksForKeys = false;
+    world.configuration->requiresKeys = false;
     world.configure();
     EXPECT_EQ(world.arrive("/read/1", std::nullopt), 0U);
     EXPECT_EQ(world.sent.at(0).context.organisation, "");
--- a/Tests/OutsideBytes/outside_bytes_test.cpp
+++ b/Tests/OutsideBytes/outside_bytes_test.cpp
@@ -124,7 +124,7 @@
     frame_history received;
     for (int i = 0; i < 20; ++i) {
         auto id = "0123456789abcdef." + std::to_string(i);
-        auto answer = answerWithout(7, 1, verdict::answered());
+        auto answer = makeCallAnswer(7, 1, verdict::answered());
         answer.status = 200;
         // Another id than the request's own is not taken for it.
         auto echoed = i % 3 == 0 ? "fedcba9876543210" : id;
@@ -146,14 +146,14 @@
     frame_history sent;
     frame_history received;
     ticket successor { 8, std::chrono::milliseconds(900), 5, 0, true };
-    auto refusal = answerWithout(7, 1, verdict::notRun(verdict_reason::Draining));
+    auto refusal = makeCallAnswer(7, 1, verdict::notRun(verdict_reason::Draining));
     refusal.successor = successor;
     auto read = decodeAnswer(payloadOf(encodeFrame(refusal, "r", sent)), "r", received);
     ASSERT_TRUE(read);
     EXPECT_EQ(read->successor, successor);
     EXPECT_TRUE(read->fields.empty());
     // A backend server cannot name one.
-    auto answer = answerWithout(7, 1, verdict::answered());
+    auto answer = makeCallAnswer(7, 1, verdict::answered());
     answer.fields = { { "Vanillashunt-Successor", toString(successor) } };
     read = decodeAnswer(payloadOf(encodeFrame(answer, "r", sent)), "r", received);
     ASSERT_TRUE(read);
@@ -165,13 +165,13 @@
 {
     frame_history sent;
     frame_history received;
-    auto answer = answerWithout(7, 1, verdict::answered());
+    auto answer = makeCallAnswer(7, 1, verdict::answered());
     answer.fields = { { "Vanillashunt-Usual-Time", "99" } };
     for (auto usual : { std::chrono::microseconds(0), std::chrono::microseconds(120000) }) {
-        answer.usualTime = usual;
+        answer.meanServiceTime = usual;
         auto read = decodeAnswer(payloadOf(encodeFrame(answer, "r", sent)), "r", received);
         ASSERT_TRUE(read);
-        EXPECT_EQ(read->usualTime, usual);
+        EXPECT_EQ(read->meanServiceTime, usual);
         EXPECT_EQ(read->fields.size(), 1U);
     }
 }
--- a/Tests/PeerCalls/peer_calls_test.cpp
+++ b/Tests/PeerCalls/peer_calls_test.cpp
@@ -29,7 +29,7 @@
 
     call_answer answered(const call_request& request, const std::string& body)
     {
-        auto answer = answerWithout(request.callId, request.attempt, verdict::answered());
+        auto answer = makeCallAnswer(request.callId, request.attempt, verdict::answered());
         answer.status = 200;
         answer.body = body;
         return answer;
@@ -194,7 +194,7 @@
     while (cancelled == 0) {
         context.run_one_for(std::chrono::seconds(60));
     }
-    held.front()->answer(answerWithout(7, 1, verdict::answered()));
+    held.front()->answer(makeCallAnswer(7, 1, verdict::answered()));
     call_answer result;
     client.start(server.address(), someRequest(8), [&](call_answer answer) {
         result = std::move(answer);
--- a/Tests/PlatformWire/platform_wire_test.cpp
+++ b/Tests/PlatformWire/platform_wire_test.cpp
@@ -72,7 +72,7 @@
         {"type":"tenants","metadata":{"name":"closed"},"spec":{"api_keys":[]}})"));
     ASSERT_TRUE(std::holds_alternative<route_configuration>(parsed));
     const auto& configuration = std::get<route_configuration>(parsed);
-    EXPECT_TRUE(configuration.asksForKeys);
+    EXPECT_TRUE(configuration.requiresKeys);
     ASSERT_EQ(configuration.organisations.size(), 3U);
     const auto& first = configuration.organisations[0];
     EXPECT_EQ(first.name, "pulo");
@@ -82,7 +82,7 @@
     EXPECT_EQ(first.quota.burst, 20);
     EXPECT_FALSE(configuration.organisations[1].priority);
     EXPECT_FALSE(configuration.organisations[1].quota.isLimited());
-    EXPECT_FALSE(std::get<route_configuration>(parseRouteDocument(document)).asksForKeys);
+    EXPECT_FALSE(std::get<route_configuration>(parseRouteDocument(document)).requiresKeys);
 }
 
 // Who asks, and how much may be asked, is never guessed; and no message tells a key.
--- a/Tests/ServerAnswers/server_answers_test.cpp
+++ b/Tests/ServerAnswers/server_answers_test.cpp
@@ -12,9 +12,9 @@
 
     constexpr const char* idField = "X-Id";
 
-    answer_marks marksOf(const http_response& response)
+    answer_metadata marksOf(const http_response& response)
     {
-        answer_marks marks;
+        answer_metadata marks;
         marks.requestId = fieldValue(response.fields, idField);
         marks.isSealed = !fieldValue(response.fields, "X-Seal").empty();
         marks.isNotExecuted = !fieldValue(response.fields, "X-Not-Run").empty();
@@ -76,7 +76,7 @@
 
     call_answer judged(instance_result result)
     {
-        answer_marks marks;
+        answer_metadata marks;
         if (const auto* response = std::get_if<http_response>(&result)) {
             marks = marksOf(*response);
         }
--- a/Tests/ServerPace/server_pace_test.cpp
+++ b/Tests/ServerPace/server_pace_test.cpp
@@ -29,28 +29,28 @@
 {
     server_pace pace;
     EXPECT_FALSE(pace.isKnown(start));
-    pace.told(loadOf(5, 2.5), slots, 5, start);
+    pace.updateLoad(loadOf(5, 2.5), slots, 5, start);
     EXPECT_TRUE(pace.isKnown(start));
     EXPECT_TRUE(pace.isSlow(start + milliseconds(100)));
     EXPECT_DOUBLE_EQ(pace.slowdown(start + milliseconds(100)), 2.5);
     // Reports that stop: nobody knows what holds now.
     EXPECT_FALSE(pace.isSlow(start + milliseconds(400)));
-    pace.told(loadOf(5, 1), slots, 5, start + milliseconds(500));
+    pace.updateLoad(loadOf(5, 1), slots, 5, start + milliseconds(500));
     EXPECT_FALSE(pace.isSlow(start + milliseconds(500)));
 }
 
 TEST(ServerPace, DoesNotBelieveFiguresThatContradictTheNodesOwn)
 {
     server_pace pace;
-    pace.told(loadOf(0, 2.5), slots, 20, start);
+    pace.updateLoad(loadOf(0, 2.5), slots, 20, start);
     EXPECT_EQ(pace.contradictions(), 1U);
     EXPECT_FALSE(pace.isSlow(start));
     // What it tells next is not believed either, and is again a while later.
-    pace.told(loadOf(20, 2.5), slots, 20, start + milliseconds(100));
+    pace.updateLoad(loadOf(20, 2.5), slots, 20, start + milliseconds(100));
     EXPECT_FALSE(pace.isSlow(start + milliseconds(100)));
-    pace.told(loadOf(20, 2.5), slots, 20, start + milliseconds(1200));
+    pace.updateLoad(loadOf(20, 2.5), slots, 20, start + milliseconds(1200));
     EXPECT_TRUE(pace.isSlow(start + milliseconds(1200)));
-    pace.told({ 5, 0, slots + 1, 1 }, slots, 5, start + milliseconds(1300));
+    pace.updateLoad({ 5, 0, slots + 1, 1 }, slots, 5, start + milliseconds(1300));
     EXPECT_EQ(pace.contradictions(), 2U);
 }
 
@@ -58,8 +58,8 @@
 TEST(ServerPace, BearsCallsOnTheirWay)
 {
     server_pace pace;
-    pace.told(loadOf(0, 2.5), slots, 5, start);
-    pace.told(loadOf(6, 2.5), slots, 12, start);
+    pace.updateLoad(loadOf(0, 2.5), slots, 5, start);
+    pace.updateLoad(loadOf(6, 2.5), slots, 12, start);
     EXPECT_EQ(pace.contradictions(), 0U);
 }
 
@@ -67,16 +67,16 @@
 {
     server_pace pace;
     for (int i = 0; i < 10; ++i) {
-        pace.ran("read", milliseconds(80));
+        pace.recordRun("read", milliseconds(80));
     }
-    pace.told({ 5, 0, slots, std::nullopt }, slots, 5, start);
-    EXPECT_FALSE(pace.usualTime("read", start));
-    pace.told(loadOf(5, 1), slots, 5, start);
-    EXPECT_EQ(pace.usualTime("read", start), microseconds(milliseconds(80)));
-    EXPECT_FALSE(pace.usualTime("write", start));
+    pace.updateLoad({ 5, 0, slots, std::nullopt }, slots, 5, start);
+    EXPECT_FALSE(pace.meanServiceTime("read", start));
+    pace.updateLoad(loadOf(5, 1), slots, 5, start);
+    EXPECT_EQ(pace.meanServiceTime("read", start), microseconds(milliseconds(80)));
+    EXPECT_FALSE(pace.meanServiceTime("write", start));
     // A restart under the same address begins anew.
-    pace.restart();
-    EXPECT_FALSE(pace.usualTime("read", start));
+    pace.reset();
+    EXPECT_FALSE(pace.meanServiceTime("read", start));
     EXPECT_FALSE(pace.isSlow(start));
 }
 
