--- a/Source/call/call_answer.h
+++ b/Source/call/call_answer.h
@@ -13,40 +13,41 @@
 
 namespace vanillashunt {
 
-// What came of one attempt: the backend server's answer, or why there is none.
+// The result of one attempt of a call: the backend server's answer, or the reason why there is none.
 struct call_answer {
-    // Both echo the request.
+    // Both are copied from the request.
     std::uint64_t callId = 0;
     std::uint32_t attempt = 0;
     verdict outcome;
-    // HTTP status, fields and body of the backend server; empty unless it answered.
+    // HTTP status, header fields and body from the backend server; empty unless it answered.
     std::uint32_t status = 0;
     http_fields fields;
     std::string body;
-    // The use of the request's ticket that can be claimed next, after a refusal.
+    // After a refusal: the use of the request's ticket that can be claimed next.
     std::uint32_t nextUse = 0;
-    // The ticket that stands for the request's one from now on, after a refusal by a home that
-    // can run nothing more.
+    // After a refusal by a home node that can run nothing more: the ticket that replaces the
+    // request's ticket from now on.
     std::optional<ticket> successor;
-    // What is left of the retry tokens that the request carried.
+    // Retry tokens left over from those that the request carried.
     std::uint32_t retryTokens = 0;
-    // The highest cut on the call chain below, so that the entrance can refuse
-    // for the deepest service.
+    // The highest shedding cut in the call chain below, so that the entry node can shed
+    // requests on behalf of the deepest service.
     shedding_position cut = 0;
-    // What the request took of the service whose cut that is.
+    // Slot time that the request used at the service with that cut.
     narrowest_cost cost;
-    // Calls that were made for the request below the answering node, and that went to
-    // another availability zone.
+    // Calls to another availability zone that were made for the request below the answering
+    // node.
     std::uint32_t zoneCrossings = 0;
-    // Load of the answering node: calls at its backend server, and their limit.
+    // Load of the answering node: calls at its backend server or waiting for it, and the limit
+    // of concurrent calls. The limit is 0 if the node reports none.
     std::uint32_t inFlight = 0;
     std::uint32_t limit = 0;
-    // The time that calls of this class usually take at its backend server; zero where the
-    // node does not tell.
+    // Mean service time of calls of this class at the backend server; zero if the node does not
+    // report it.
     std::chrono::microseconds meanServiceTime { 0 };
 };
 
-// An answer that a node gives in the place of a backend server.
+// Returns an answer that a node gives itself, without HTTP status, header fields and body.
 call_answer makeCallAnswer(std::uint64_t callId, std::uint32_t attempt, const verdict&);
 
 }
--- a/Source/call/call_intake.h
+++ b/Source/call/call_intake.h
@@ -4,10 +4,10 @@
 
 namespace vanillashunt {
 
-// Which requests a node accepts from its callers; narrowed step by step during a planned stop.
+// Which calls a node accepts from its callers. Narrowed step by step during a planned stop.
 enum class call_intake : std::uint8_t {
     All,
-    OnwardCalls, // Only calls made by runs at the own backend server, which need them to finish.
+    OnwardCalls, // Only calls made by requests that run at this node's backend server and need them to finish.
     None,
 };
 
--- a/Source/call/call_observation.cpp
+++ b/Source/call/call_observation.cpp
@@ -6,8 +6,8 @@
 
 std::string toString(call_decision decision)
 {
-    constexpr std::array<const char*, 5> words { "attempt", "retry", "attempt_failed", "rejected", "finished" };
-    return words.at(static_cast<std::size_t>(decision));
+    constexpr std::array<const char*, 5> names { "attempt", "retry", "attempt_failed", "rejected", "finished" };
+    return names.at(static_cast<std::size_t>(decision));
 }
 
 bool isShed(verdict_reason reason)
--- a/Source/call/call_request.h
+++ b/Source/call/call_request.h
@@ -10,23 +10,24 @@
 
 namespace vanillashunt {
 
-// One attempt of one call, as it goes from a caller's node to the target's node.
+// One attempt of a call, as the caller's node sends it to the target's node.
 struct call_request {
-    // Chosen by the caller's node; echoed by the answer.
+    // Chosen by the caller's node; copied into the answer.
     std::uint64_t callId = 0;
     // 1 for the first attempt of this call.
     std::uint32_t attempt = 1;
-    // Whether the target is to refuse the call at once where it would wait: its caller's
-    // node goes on to another target.
+    // Whether the target refuses the call at once instead of queueing it. The caller's node then
+    // tries another target.
     bool refuseIfFull = false;
     request_context context;
     // Present if and only if the call is not idempotent.
     std::optional<ticket> permit;
     std::string service;
-    // The service beside which the call began; empty where nobody asks.
+    // Service of the backend server beside the node where the call began; empty if it is not
+    // needed.
     std::string callerService;
     std::string method;
-    // Path and query, as the backend server is to see them.
+    // Path and query, as they are sent to the backend server.
     std::string path;
     http_fields fields;
     std::string body;
--- a/Source/call/header_names.h
+++ b/Source/call/header_names.h
@@ -2,7 +2,7 @@
 
 namespace vanillashunt::header {
 
-// The header fields of docs/design/headers.md.
+// Names of the HTTP header fields that docs/design/headers.md specifies.
 constexpr const char* service = "Vanillashunt-Service";
 constexpr const char* organisation = "Vanillashunt-Customer";
 constexpr const char* timeout = "Vanillashunt-Timeout";
--- a/Source/call/http_field.cpp
+++ b/Source/call/http_field.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    // Field names are ASCII; the library's function asks for the locale at each byte.
-    constexpr char lowered(char byte)
+    // Field names are ASCII. std::tolower looks up the locale for each byte.
+    constexpr char toLowerAscii(char byte)
     {
         return byte >= 'A' && byte <= 'Z' ? static_cast<char>(byte - 'A' + 'a') : byte;
     }
@@ -16,7 +16,7 @@
 
 bool equalIgnoringCase(std::string_view a, std::string_view b)
 {
-    return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lowered(x) == lowered(y); });
+    return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return toLowerAscii(x) == toLowerAscii(y); });
 }
 
 std::string fieldValue(const http_fields& fields, std::string_view name)
--- a/Source/call/http_field.h
+++ b/Source/call/http_field.h
@@ -14,10 +14,10 @@
 
 using http_fields = std::vector<http_field>;
 
-// Returns the value of the first field of that name, in any case; empty if there is none.
+// Returns the value of the first field with that name, ignoring case; empty if there is none.
 std::string fieldValue(const http_fields&, std::string_view name);
 
-// For names of fields, which are ASCII.
+// Compares field names, which are ASCII.
 bool equalIgnoringCase(std::string_view, std::string_view);
 
 }
--- a/Source/call/request_metadata.h
+++ b/Source/call/request_metadata.h
@@ -9,45 +9,45 @@
 
 namespace vanillashunt {
 
-// What the headers of a platform say of requests and answers, whatever it calls them.
+// Metadata of requests and answers, independent of the header names of a platform.
 
-// What a client says of a request beside its target and body.
+// What a client states about a request besides its target and body.
 struct request_metadata {
-    // Names one attempt of the client.
+    // Identifies one attempt of the client.
     std::string requestId;
-    // The id of the request that this one seems to be made for; whoever uses it has
-    // to know that request. Empty if there is none.
+    // The id of the request that this one appears to be made for, to be used only if that
+    // request is known. Empty if there is none.
     std::string parentId;
-    // How long the client goes on waiting; nothing if it does not say.
+    // How long the client still waits; nothing if it does not say.
     std::optional<std::chrono::milliseconds> remaining;
-    // Tells which organisation asks; nothing if the client names none.
+    // The key that identifies the organisation; nothing if the client sends none.
     std::optional<std::string> key;
-    // Whether there are several of the fields that hold it, so that nobody can say which counts.
+    // Whether the request has several key fields, so that it is ambiguous which one applies.
     bool hasSeveralKeys = false;
 };
 
-// What the node tells its server of a request.
+// What a node states about a request that it sends to its backend server.
 struct server_request_metadata {
     std::chrono::milliseconds remaining { 0 };
-    // The only start of the server that may run it.
+    // Identifies the only server process that may run the request.
     std::string instanceId;
-    // The service beside which the request began.
+    // Service of the backend server beside the node where the request began.
     std::string callerService;
-    // Who asks; empty where nobody was told apart.
+    // Name of the organisation; empty if organisations are not told apart.
     std::string organisation;
 };
 
-// What a server says of its answer.
+// What a backend server states about its answer.
 struct answer_metadata {
     // Empty if the answer names none.
     std::string requestId;
-    // Whether the server signed the answer.
+    // Whether the answer carries the server's signature.
     bool isSealed = false;
-    // Whether it says that it did not run the request.
+    // Whether the server states that it did not run the request.
     bool isNotExecuted = false;
-    // Whether the body is another than the server's own bytes.
+    // Whether the body has a content encoding, so that it may differ from the server's own bytes.
     bool isEncoded = false;
-    // What it tells of its load; nothing where it does not tell, or nobody can read it.
+    // The load that the server reports; nothing if it reports none, or an unreadable one.
     std::optional<server_load> load;
     bool isLoadUnreadable = false;
 };
--- a/Source/routes/destination_rotation.cpp
+++ b/Source/routes/destination_rotation.cpp
@@ -7,60 +7,60 @@
 
 namespace {
 
-    double sumOfWeights(const route& from)
+    double sumOfWeights(const route& requestRoute)
     {
         double sum = 0;
-        for (const auto& each : from.destinations) {
-            sum += each.weight;
+        for (const auto& destination : requestRoute.destinations) {
+            sum += destination.weight;
         }
         return sum;
     }
 
 }
 
-destination_rotation::destination_rotation(chance_hook chance)
-    : m_chance(std::move(chance))
+destination_rotation::destination_rotation(random_function random)
+    : m_random(std::move(random))
 {
 }
 
-destination_rotation::phases& destination_rotation::phasesOf(const route& from)
+destination_rotation::phases& destination_rotation::phasesOf(const route& requestRoute)
 {
-    auto& known = m_byRoute[from.name];
-    if (known.size() + 1 != from.destinations.size()) {
-        known.assign(from.destinations.size() - 1, 0);
-        for (auto& phase : known) {
-            phase = m_chance();
+    auto& routePhases = m_byRoute[requestRoute.name];
+    if (routePhases.size() + 1 != requestRoute.destinations.size()) {
+        routePhases.assign(requestRoute.destinations.size() - 1, 0);
+        for (auto& phase : routePhases) {
+            phase = m_random();
         }
     }
-    return known;
+    return routePhases;
 }
 
-const std::string& destination_rotation::next(const route& from)
+const std::string& destination_rotation::next(const route& requestRoute)
 {
-    if (from.destinations.size() == 1) {
-        return from.destinations.front().service;
+    if (requestRoute.destinations.size() == 1) {
+        return requestRoute.destinations.front().service;
     }
-    auto& known = phasesOf(from);
-    auto left = sumOfWeights(from);
-    for (std::size_t i = 0; i < known.size() && left > 0; ++i) {
-        const auto& destination = from.destinations[i];
-        known[i] += destination.weight / left;
-        if (known[i] >= 1) {
-            known[i] -= 1;
+    auto& routePhases = phasesOf(requestRoute);
+    auto remainingWeight = sumOfWeights(requestRoute);
+    for (std::size_t i = 0; i < routePhases.size() && remainingWeight > 0; ++i) {
+        const auto& destination = requestRoute.destinations[i];
+        routePhases[i] += destination.weight / remainingWeight;
+        if (routePhases[i] >= 1) {
+            routePhases[i] -= 1;
             return destination.service;
         }
-        left -= destination.weight;
+        remainingWeight -= destination.weight;
     }
-    return from.destinations.back().service;
+    return requestRoute.destinations.back().service;
 }
 
 void destination_rotation::setRoutes(const std::vector<route>& routes)
 {
     std::unordered_map<std::string, phases> kept;
-    for (const auto& each : routes) {
-        auto known = m_byRoute.extract(each.name);
-        if (known) {
-            kept.insert(std::move(known));
+    for (const auto& current : routes) {
+        auto node = m_byRoute.extract(current.name);
+        if (node) {
+            kept.insert(std::move(node));
         }
     }
     m_byRoute = std::move(kept);
--- a/Source/routes/destination_rotation.h
+++ b/Source/routes/destination_rotation.h
@@ -9,35 +9,38 @@
 
 namespace vanillashunt {
 
-// Divides each route's requests among its destinations so that every run of them
-// has the weights' parts, and not only the average of many. A part is never moved to
-// another destination.
+// Divides each route's requests among its destinations in proportion to their weights. The
+// proportions hold in every sequence of requests and not only on average. The share of one
+// destination is never moved to another.
 //
-// Each request of a node, its first one too, goes to a destination with the chance that
-// the weights say, so that the parts are also right for the sum of many nodes that see few
-// requests each. Where 195 nodes see three requests each, a part of weight 0.5 gets 0.47 to
-// 0.52 of them over 20 seeds, and one of weight 0.1 gets 0.08 to 0.11; 0.67 and 0.27 where
-// each node's first request goes to the part that is owed most (the test DestinationRotation).
+// Every request of a node, including the first, goes to a destination with the probability
+// that the weights give it. The proportions therefore also hold for the sum over many nodes
+// that see few requests each. With 195 nodes that see three requests each and 20 seeds, a
+// destination of weight 0.5 gets 0.47 to 0.52 of the requests and one of weight 0.1 gets 0.08
+// to 0.11. If each node sent its first request to the destination that is furthest below its
+// share, they would get 0.67 and 0.27 (see the test DestinationRotation).
 class destination_rotation {
 public:
     // Returns a random number in [0, 1).
-    using chance_hook = std::function<double()>;
+    using random_function = std::function<double()>;
 
-    explicit destination_rotation(chance_hook);
+    explicit destination_rotation(random_function);
 
+    // Returns the service that the next request of the route goes to.
     const std::string& next(const route&);
 
-    // Forgets routes that are gone. What is known of the others holds for other weights, too.
+    // Discards the phases of routes that no longer exist. The phases of the other routes remain
+    // valid if their weights change.
     void setRoutes(const std::vector<route>&);
 
 private:
-    // A destination takes a request or leaves it to those after it in the route; its
-    // phase, in [0, 1), says how near its next turn is. All but the last have one.
+    // A destination takes a request or leaves it to those after it in the route. Its phase, in
+    // [0, 1), tells how close its next turn is. Every destination but the last has a phase.
     using phases = std::vector<double>;
 
     phases& phasesOf(const route&);
 
-    chance_hook m_chance;
+    random_function m_random;
     std::unordered_map<std::string, phases> m_byRoute;
 };
 
--- a/Source/routes/organisation_directory.h
+++ b/Source/routes/organisation_directory.h
@@ -14,21 +14,21 @@
 public:
     explicit organisation_directory(route_snapshot);
 
-    // Null for a key that none has.
+    // Returns null if no organisation has the key.
     const organisation* findByKey(const std::string& key) const;
 
-    // Where the priority that an operator gives an organisation stands among those that there
-    // are; the lowest for null, and for one without.
+    // Returns the rank of an organisation's priority among the priorities of all organisations.
+    // It is the lowest rank for null and for an organisation without a priority.
     organisation_rank rankOf(const organisation*) const;
 
-    // Whether requests need a key, but on public routes.
+    // Whether requests need a key, except on public routes.
     bool requiresKeys() const { return m_configuration->requiresKeys; }
 
 private:
-    // Keeps alive what the entries point to.
+    // Owns the organisations that m_byKey points to.
     route_snapshot m_configuration;
     std::unordered_map<std::string, const organisation*> m_byKey;
-    // Every priority that one has, each once.
+    // The distinct priorities of all organisations.
     std::set<std::uint32_t> m_priorities;
 };
 
--- a/Source/routes/route_table.cpp
+++ b/Source/routes/route_table.cpp
@@ -16,9 +16,9 @@
         return key;
     }
 
-    bool beginsWith(std::string_view text, std::string_view beginning)
+    bool startsWith(std::string_view text, std::string_view prefix)
     {
-        return text.substr(0, beginning.size()) == beginning;
+        return text.substr(0, prefix.size()) == prefix;
     }
 
     bool hasLongerPrefix(const route* left, const route* right)
@@ -31,8 +31,8 @@
 route_table::route_table(route_snapshot configuration)
     : m_configuration(std::move(configuration))
 {
-    for (const auto& each : m_configuration->routes) {
-        m_byHost[hostKey(each.host)].push_back(&each);
+    for (const auto& entry : m_configuration->routes) {
+        m_byHost[hostKey(entry.host)].push_back(&entry);
     }
     for (auto& [host, routes] : m_byHost) {
         std::stable_sort(routes.begin(), routes.end(), hasLongerPrefix);
@@ -46,9 +46,9 @@
         return nullptr;
     }
     auto path = target.substr(0, target.find('?'));
-    for (const auto* each : found->second) {
-        if (beginsWith(path, each->prefix)) {
-            return each;
+    for (const auto* candidate : found->second) {
+        if (startsWith(path, candidate->prefix)) {
+            return candidate;
         }
     }
     return nullptr;
--- a/Source/routes/route_table.h
+++ b/Source/routes/route_table.h
@@ -9,21 +9,22 @@
 
 namespace vanillashunt {
 
-// Finds the route of a request: of those of its host, the one with the longest
-// prefix that begins its path.
+// Finds the route of a request: of the routes for its host, the one with the longest prefix
+// that matches its path.
 class route_table {
 public:
     explicit route_table(route_snapshot);
 
-    // Null if no route fits. The host may have a port; letters count in any case.
-    // A query does not count as part of the path.
+    // Returns null if no route matches. The host may include a port, which is ignored, and is
+    // compared case-insensitively. The query of the target is not part of the path. The route
+    // is owned by the configuration.
     const route* find(std::string_view host, std::string_view target) const;
 
     const route_configuration& configuration() const { return *m_configuration; }
 
 private:
     route_snapshot m_configuration;
-    // The routes of each host in lower case, the longest prefix first.
+    // The routes of each host, the longest prefix first. Host names are in lower case.
     std::unordered_map<std::string, std::vector<const route*>> m_byHost;
 };
 
--- a/Source/routing/expected_time.cpp
+++ b/Source/routing/expected_response_time.cpp
@@ -1,13 +1,14 @@
-#include "routing/expected_time.h"
+#include "routing/expected_response_time.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace vanillashunt {
 
-// The wait of many slots below their limit by Sakasegawa's approximation (1977) for a queue with
-// random arrivals and run times; at and over the limit what waits is worked off by all slots.
-double expectedTime(double pace, double load, std::uint32_t limit)
+// Below the limit, the wait follows Sakasegawa's approximation (1977) for a queue with several
+// slots, random arrivals and random service times. From the limit on, all slots together work off
+// the waiting calls.
+double expectedResponseTime(double pace, double load, std::uint32_t limit)
 {
     auto slots = static_cast<double>(std::max(limit, 1U));
     auto waitAtLimit = 1.0;
--- a/Source/routing/free_slot_estimator.h
+++ b/Source/routing/free_slot_estimator.h
@@ -8,23 +8,22 @@
 
 namespace vanillashunt {
 
-// How often the targets of each service were full lately, as their answers told: whether
-// a call that meets a full one is likely to find a free slot at another.
+// Estimates how often the targets of each service are full, from their recent answers. It tells
+// whether a call that was refused by a full target is likely to find a free slot at another one.
 class free_slot_estimator {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // A target of the service answered, and said whether calls fill its limit.
+    // Takes in whether the calls at a target of the service fill its limit, as its answer reports.
     void recordAnswer(const std::string& service, bool full, time_point now);
 
-    // Whether one of a few targets that are asked is likely to have a free slot. Under an
-    // overload of the whole service there is nobody to ask, and asking would cost the
-    // processor of nodes that are full.
+    // Whether one of a few targets is likely to have a free slot. If the whole service is
+    // overloaded, asking further targets has no use and costs processor time on full nodes.
     bool isFreeSlotLikely(const std::string& service, time_point now) const;
 
 private:
-    // By service: part of the answers that told of a full target.
-    std::unordered_map<std::string, fading_mean> m_fullParts;
+    // Share of the answers that report a full target, by service.
+    std::unordered_map<std::string, fading_mean> m_fullShares;
 };
 
 }
--- a/Source/routing/relative_pace.h
+++ b/Source/routing/relative_pace.h
@@ -6,16 +6,16 @@
 
 namespace vanillashunt {
 
-// What targets tell of the time that a class of requests takes there, against the mean of all
-// that told: so that the pace of a target which runs one class can be compared with that of
-// a target which runs another.
+// Relates the service time that a target reports for a class of requests to the mean over all
+// targets. The paces of targets that run different classes become comparable this way.
 class relative_pace {
 public:
-    // A target told its usual time for the class. Returns how much longer that is than the mean.
+    // Adds a target's report to the mean of the class. Returns the target's pace: its service time
+    // divided by the mean.
     double learn(const std::string& requestClass, std::chrono::microseconds meanServiceTime);
 
 private:
-    // Mean of what was told, in microseconds, by class.
+    // Mean of the reported service times in microseconds, by class.
     std::unordered_map<std::string, double> m_means;
 };
 
--- a/Source/routing/router.cpp
+++ b/Source/routing/router.cpp
@@ -1,7 +1,7 @@
 #include "routing/router.h"
 
 #include "decision/rendezvous.h"
-#include "routing/expected_time.h"
+#include "routing/expected_response_time.h"
 
 #include <algorithm>
 #include <limits>
@@ -11,25 +11,26 @@
 
 namespace {
 
-    constexpr int farthest = 2;
+    constexpr int maxDistance = 2;
 
-    // From this load on a nearer member is full, and farther ones are looked at.
+    // From this load on a near member counts as full, and members farther away are considered.
     constexpr double fullLoad = 0.9;
 
-    // A farther member must be less loaded by this much to be worth the way.
-    constexpr double spillAdvantage = 0.2;
+    // The load of a farther member must be lower by this much to justify the longer way.
+    constexpr double minLoadAdvantage = 0.2;
 
-    // A farther member must save more calls to other zones than this, beside the one to
-    // itself, and must have room: bytes between zones cost money, and each way there time.
-    constexpr double crossingsWorthTheWay = 0.5;
-    constexpr double roomyLoad = 0.75;
+    // A farther member must save more calls to other zones than this, in addition to the call to the
+    // member itself, and must have a load below spareCapacityLoad. Traffic between zones costs
+    // money, and each call to another zone takes longer.
+    constexpr double minCrossingsSaved = 0.5;
+    constexpr double spareCapacityLoad = 0.75;
 
-    constexpr std::uint64_t chanceSteps = 1024;
-    constexpr std::uint64_t capacitySteps = 1U << 20U;
+    constexpr std::uint64_t probabilitySteps = 1024;
+    constexpr std::uint64_t capacityDrawSteps = 1U << 20U;
 
-    // One call in so many goes to the target that was drawn first, however slow: what it tells is
-    // how it is found well again.
-    constexpr std::uint64_t tricklePart = 16;
+    // One call in this many goes to the target that is drawn first, however slow it is. Its answers
+    // show when a slow target has recovered.
+    constexpr std::uint64_t probeInterval = 16;
 
     struct zone_mean {
         double sum = 0;
@@ -45,9 +46,9 @@
 
 }
 
-router::router(node_location place, chance_hook chance)
-    : m_place(std::move(place))
-    , m_chance(std::move(chance))
+router::router(node_location location, random_function random)
+    : m_location(std::move(location))
+    , m_random(std::move(random))
     , m_members(std::make_shared<std::vector<member>>())
 {
 }
@@ -71,13 +72,13 @@
 
 int router::distance(const member& target) const
 {
-    if (target.availabilityZone == m_place.availabilityZone) {
+    if (target.availabilityZone == m_location.availabilityZone) {
         return 0;
     }
-    return target.region == m_place.region ? 1 : farthest;
+    return target.region == m_location.region ? 1 : maxDistance;
 }
 
-std::vector<router::candidate> router::candidatesAt(int wanted, bool avoided, const route_request& request, std::chrono::steady_clock::time_point now) const
+std::vector<router::candidate> router::candidatesAt(int wantedDistance, bool wantAvoided, const route_request& request, std::chrono::steady_clock::time_point now) const
 {
     std::vector<candidate> result;
     auto found = m_byService.find(request.service);
@@ -85,119 +86,119 @@
         return result;
     }
     for (const auto* target : found->second) {
-        bool taking = target->state == member_state::Alive || target->state == member_state::Suspect;
-        if (!taking || distance(*target) != wanted || contains(request.tried, target->id)) {
+        bool acceptsCalls = target->state == member_state::Alive || target->state == member_state::Suspect;
+        if (!acceptsCalls || distance(*target) != wantedDistance || contains(request.tried, target->id)) {
             continue;
         }
         auto view = m_views.find(target->id);
-        if (view != m_views.end() && view->second.outOfReach()) {
+        if (view != m_views.end() && view->second.isUnreachable()) {
             continue;
         }
-        bool isAvoided = target->state == member_state::Suspect || !target->reachable || (view != m_views.end() && (view->second.avoided(now) || view->second.silent(now)));
-        if (isAvoided != avoided) {
+        bool isAvoided = target->state == member_state::Suspect || !target->reachable || (view != m_views.end() && (view->second.isAvoided(now) || view->second.isUnresponsive(now)));
+        if (isAvoided != wantAvoided) {
             continue;
         }
-        bool known = view != m_views.end();
-        double crossings = (wanted == 0 ? 0 : 1) + (known ? view->second.zoneCrossings(now) : 0);
-        candidate each;
-        each.target = target;
-        each.load = known ? view->second.load(target->slots, now) : 0;
-        each.zoneCrossings = crossings;
-        each.pace = known ? view->second.pace() : std::nullopt;
-        each.limit = known ? view->second.limit(target->slots) : std::max(target->slots, 1U);
-        result.push_back(each);
+        bool hasView = view != m_views.end();
+        double crossings = (wantedDistance == 0 ? 0 : 1) + (hasView ? view->second.zoneCrossings(now) : 0);
+        candidate option;
+        option.target = target;
+        option.load = hasView ? view->second.load(target->slots, now) : 0;
+        option.zoneCrossings = crossings;
+        option.pace = hasView ? view->second.pace() : std::nullopt;
+        option.limit = hasView ? view->second.limit(target->slots) : std::max(target->slots, 1U);
+        result.push_back(option);
     }
     return result;
 }
 
-// The servers of one zone have the same zones around them, so that the mean of what they
-// reported counts for each. Leaves the zones with the fewest calls to others, among
-// those that have room.
-void router::keepFewestCrossings(std::vector<candidate>& from)
+// Keeps the candidates of the zones with the fewest calls to other zones, among those with spare
+// capacity. The servers of one zone have the same surrounding zones, so each of them is assigned
+// the mean of their reports.
+void router::keepFewestCrossings(std::vector<candidate>& candidates)
 {
     auto fewer = [](const candidate& a, const candidate& b) { return a.zoneCrossings < b.zoneCrossings; };
-    auto [least, most] = std::minmax_element(from.begin(), from.end(), fewer);
-    if (from.empty() || most->zoneCrossings - least->zoneCrossings <= crossingsWorthTheWay) {
+    auto [least, most] = std::minmax_element(candidates.begin(), candidates.end(), fewer);
+    if (candidates.empty() || most->zoneCrossings - least->zoneCrossings <= minCrossingsSaved) {
         return;
     }
     std::map<std::string, zone_mean> zones;
-    for (const auto& each : from) {
-        auto& zone = zones[each.target->availabilityZone];
-        zone.sum += each.zoneCrossings;
+    for (const auto& option : candidates) {
+        auto& zone = zones[option.target->availabilityZone];
+        zone.sum += option.zoneCrossings;
         ++zone.members;
     }
     double fewest = std::numeric_limits<double>::max();
-    for (auto& each : from) {
-        each.zoneCrossings = zones.at(each.target->availabilityZone).get();
-        fewest = each.load < roomyLoad ? std::min(fewest, each.zoneCrossings) : fewest;
+    for (auto& option : candidates) {
+        option.zoneCrossings = zones.at(option.target->availabilityZone).get();
+        fewest = option.load < spareCapacityLoad ? std::min(fewest, option.zoneCrossings) : fewest;
     }
-    auto tooMany = [fewest](const candidate& each) { return each.zoneCrossings > fewest + crossingsWorthTheWay; };
-    auto first = std::remove_if(from.begin(), from.end(), tooMany);
-    if (first != from.begin()) {
-        from.erase(first, from.end());
+    auto tooMany = [fewest](const candidate& option) { return option.zoneCrossings > fewest + minCrossingsSaved; };
+    auto first = std::remove_if(candidates.begin(), candidates.end(), tooMany);
+    if (first != candidates.begin()) {
+        candidates.erase(first, candidates.end());
     }
 }
 
-const router::candidate& router::drawByCapacity(const std::vector<candidate>& from) const
+const router::candidate& router::drawByCapacity(const std::vector<candidate>& candidates) const
 {
-    double all = 0;
-    for (const auto& each : from) {
-        all += each.limit / each.pace.value_or(1);
+    double totalCapacity = 0;
+    for (const auto& option : candidates) {
+        totalCapacity += option.limit / option.pace.value_or(1);
     }
-    auto place = all * static_cast<double>(m_chance(capacitySteps)) / capacitySteps;
-    for (const auto& each : from) {
-        place -= each.limit / each.pace.value_or(1);
-        if (place < 0) {
-            return each;
+    auto position = totalCapacity * static_cast<double>(m_random(capacityDrawSteps)) / capacityDrawSteps;
+    for (const auto& option : candidates) {
+        position -= option.limit / option.pace.value_or(1);
+        if (position < 0) {
+            return option;
         }
     }
-    return from.back();
+    return candidates.back();
 }
 
-// With old news of the loads the fastest would get nearly all calls, also when they are full:
-// then only the drawing tells the targets apart.
-std::optional<router::candidate> router::drawTwo(const std::vector<candidate>& from, bool hasRoom) const
+// Without free slots only the draw favours faster targets: with outdated load reports a comparison
+// of response times would send nearly all calls to the fastest targets, even if they are full.
+std::optional<router::candidate> router::chooseBetterOfTwo(const std::vector<candidate>& candidates, bool hasFreeSlots) const
 {
-    if (from.empty()) {
+    if (candidates.empty()) {
         return std::nullopt;
     }
-    bool tellPace = std::any_of(from.begin(), from.end(), [](const candidate& each) { return each.pace.has_value(); });
-    if (tellPace && from.size() > 1) {
-        const auto& first = drawByCapacity(from);
-        const auto& second = drawByCapacity(from);
-        if (!hasRoom) {
+    bool reportsPace = std::any_of(candidates.begin(), candidates.end(), [](const candidate& option) { return option.pace.has_value(); });
+    if (reportsPace && candidates.size() > 1) {
+        const auto& first = drawByCapacity(candidates);
+        const auto& second = drawByCapacity(candidates);
+        if (!hasFreeSlots) {
             return second.load < first.load ? second : first;
         }
-        if (m_chance(tricklePart) == 0) {
+        if (m_random(probeInterval) == 0) {
             return first;
         }
-        auto timeAt = [](const candidate& each) { return expectedTime(each.pace.value_or(1), each.load, each.limit); };
-        return timeAt(second) < timeAt(first) ? second : first;
+        auto responseTimeAt = [](const candidate& option) { return expectedResponseTime(option.pace.value_or(1), option.load, option.limit); };
+        return responseTimeAt(second) < responseTimeAt(first) ? second : first;
     }
-    const auto& first = from[m_chance(from.size())];
-    if (from.size() == 1) {
+    const auto& first = candidates[m_random(candidates.size())];
+    if (candidates.size() == 1) {
         return first;
     }
-    const auto& second = from[m_chance(from.size())];
+    const auto& second = candidates[m_random(candidates.size())];
     return second.load < first.load ? second : first;
 }
 
-std::optional<router::candidate> router::chooseNearest(bool avoided, const route_request& request, std::chrono::steady_clock::time_point now) const
+std::optional<router::candidate> router::chooseNearest(bool wantAvoided, const route_request& request, std::chrono::steady_clock::time_point now) const
 {
     std::optional<candidate> best;
-    for (int wanted = 0; wanted <= farthest; ++wanted) {
-        auto candidates = candidatesAt(wanted, avoided, request, now);
+    for (int wantedDistance = 0; wantedDistance <= maxDistance; ++wantedDistance) {
+        auto candidates = candidatesAt(wantedDistance, wantAvoided, request, now);
         keepFewestCrossings(candidates);
-        auto drawn = drawTwo(candidates, request.hasRoom);
+        auto drawn = chooseBetterOfTwo(candidates, request.hasFreeSlots);
         if (!drawn) {
             continue;
         }
-        bool hasRoom = !best || drawn->load + spillAdvantage < best->load;
-        bool savesCrossings = best && drawn->load < roomyLoad && drawn->zoneCrossings + crossingsWorthTheWay < best->zoneCrossings;
-        if (hasRoom || savesCrossings) {
+        bool isLessLoaded = !best || drawn->load + minLoadAdvantage < best->load;
+        bool savesCrossings = best && drawn->load < spareCapacityLoad && drawn->zoneCrossings + minCrossingsSaved < best->zoneCrossings;
+        if (isLessLoaded || savesCrossings) {
             best = drawn;
         }
-        if (best->load < fullLoad && best->zoneCrossings <= 1 + crossingsWorthTheWay) {
+        if (best->load < fullLoad && best->zoneCrossings <= 1 + minCrossingsSaved) {
             break;
         }
     }
@@ -208,7 +209,7 @@
 {
     auto chosen = chooseNearest(false, request, now);
     if (!chosen) {
-        // A member that failed a moment ago, or whose zone did not answer, is better than none.
+        // A member that failed recently or whose zone cannot be reached is better than none.
         chosen = chooseNearest(true, request, now);
     }
     if (!chosen) {
@@ -224,9 +225,9 @@
         return std::nullopt;
     }
     std::vector<std::uint64_t> candidates;
-    for (const auto* each : found->second) {
-        if (each->state == member_state::Alive && each->reachable) {
-            candidates.push_back(each->id);
+    for (const auto* memberEntry : found->second) {
+        if (memberEntry->state == member_state::Alive && memberEntry->reachable) {
+            candidates.push_back(memberEntry->id);
         }
     }
     auto first = rendezvousFirst(candidates, key);
@@ -245,7 +246,7 @@
 bool router::reliesOnRecentLoad(std::uint64_t memberId, std::chrono::steady_clock::time_point now) const
 {
     auto view = m_views.find(memberId);
-    return view != m_views.end() && view->second.toldLoadLately(now) && !view->second.pace();
+    return view != m_views.end() && view->second.hasRecentLoad(now) && !view->second.pace();
 }
 
 std::vector<target_status> router::targetStatuses(std::chrono::steady_clock::time_point now) const
@@ -274,8 +275,8 @@
 
 void router::finished(std::uint64_t memberId, const route_outcome& outcome, std::chrono::steady_clock::time_point now)
 {
-    auto chance = static_cast<double>(m_chance(chanceSteps)) / chanceSteps;
-    m_views[memberId].finished(outcome, chance, now);
+    auto randomFraction = static_cast<double>(m_random(probabilitySteps)) / probabilitySteps;
+    m_views[memberId].finished(outcome, randomFraction, now);
 }
 
 void router::cancelled(std::uint64_t memberId, std::chrono::steady_clock::time_point)
--- a/Source/routing/router.h
+++ b/Source/routing/router.h
@@ -15,90 +15,92 @@
 
 struct route_request {
     std::string service;
-    // Members that earlier attempts of this call have tried.
+    // Ids of the members that earlier attempts of this call were sent to.
     std::vector<std::uint64_t> tried;
-    // Whether servers of the service have room, so that the faster ones can be chosen. Otherwise
-    // each gets work in proportion to what it ends.
-    bool hasRoom = true;
+    // Whether servers of the service are likely to have free slots, so that the faster ones can be
+    // preferred. Otherwise each server gets calls in proportion to its throughput.
+    bool hasFreeSlots = true;
 };
 
-// How a node sees one member that it has sent calls to.
+// What a node knows of one member that it has sent calls to.
 struct target_status {
     std::string name;
     std::string service;
+    // Calls at the member divided by its limit, and the limit.
     double load = 0;
     std::uint32_t limit = 0;
-    // How much longer than the mean a call takes there, if it tells.
+    // Service time relative to the mean, if the member reports it; 2 is twice as slow.
     std::optional<double> pace;
 };
 
-// Where a node stands, for the distance to the members.
+// Location of a node, from which its distance to the members follows.
 struct node_location {
     std::string availabilityZone;
     std::string region;
 };
 
-// Chooses the member that a call goes to: in the own availability zone first,
-// the less loaded of two drawn at random, by what this node has seen itself; in
-// where the members tell their pace, each is drawn in proportion to what it ends, and
-// the one with the shorter expected time is taken. A member goes to
-// another zone where the own one is full, or has nobody who answers, or where fewer
-// of the calls that follow go to other zones.
+// Chooses the member that a call goes to, from what this node has observed itself. Two members of
+// the node's own availability zone are drawn at random, and the less loaded one is taken. If
+// members report their pace, they are drawn in proportion to their throughput, and the one with
+// the shorter expected response time is taken. A call goes to another zone if the own zone is full,
+// if no member of it responds, or if fewer of the calls that follow then go to other zones.
 class router {
 public:
     // Returns a random number below its argument.
-    using chance_hook = std::function<std::uint64_t(std::uint64_t bound)>;
+    using random_function = std::function<std::uint64_t(std::uint64_t bound)>;
 
-    router(node_location, chance_hook);
+    router(node_location, random_function);
 
     void setMembers(member_list, std::chrono::steady_clock::time_point now);
 
-    // Returns nothing where no member can take the call.
+    // Returns nothing if no member can take the call.
     std::optional<member> choose(const route_request&, std::chrono::steady_clock::time_point now);
 
-    // The member of the service that all nodes agree on for the key, as far as they know the
-    // same members; nothing where none can be reached.
+    // Returns the member of the service that all nodes choose for the key if they know the same
+    // members; nothing if no member can be reached.
     std::optional<member> chooseByKey(const std::string& service, std::uint64_t key) const;
 
-    // Returns nothing for an id that is not, or no longer, a member's.
+    // Returns nothing if no current member has the id.
     std::optional<member> find(std::uint64_t memberId) const;
 
-    // Whether the member told its load a moment ago and was chosen for it. Where members tell
-    // their pace a fast one is chosen also when it is nearly full, and slow for a moment.
+    // Whether the member reported its load recently and is chosen by this load. This is false for
+    // a member that reports its pace: a fast one is chosen even if it is nearly full, or slow for
+    // a moment.
     bool reliesOnRecentLoad(std::uint64_t memberId, std::chrono::steady_clock::time_point now) const;
 
     std::vector<target_status> targetStatuses(std::chrono::steady_clock::time_point now) const;
 
-    // Whether any member, in whatever state, announces the service.
+    // Whether any member, in any state, announces the service.
     bool knowsService(const std::string& service) const;
 
     void started(std::uint64_t memberId, std::chrono::steady_clock::time_point now);
     void finished(std::uint64_t memberId, const route_outcome&, std::chrono::steady_clock::time_point now);
 
-    // For an attempt that was cancelled before it brought an outcome.
+    // Ends an attempt that was cancelled before it had an outcome.
     void cancelled(std::uint64_t memberId, std::chrono::steady_clock::time_point now);
 
 private:
     struct candidate {
         const member* target = nullptr;
         double load = 0;
-        // Calls to other zones that the choice brings about, with the call itself.
+        // Expected calls to other zones if this target is chosen, including the call itself.
         double zoneCrossings = 0;
-        // How much longer than the mean a call takes there, if it tells.
+        // Service time relative to the mean, if the target reports it.
         std::optional<double> pace {};
         std::uint32_t limit = 1;
     };
 
-    // Lower is nearer: own zone, own region, elsewhere.
+    // Returns 0 in the own zone, 1 elsewhere in the own region, and 2 in other regions.
     int distance(const member&) const;
-    std::vector<candidate> candidatesAt(int distance, bool avoided, const route_request&, std::chrono::steady_clock::time_point now) const;
+    // With wantAvoided only the members that are avoided now, otherwise only the others.
+    std::vector<candidate> candidatesAt(int distance, bool wantAvoided, const route_request&, std::chrono::steady_clock::time_point now) const;
     static void keepFewestCrossings(std::vector<candidate>&);
-    std::optional<candidate> drawTwo(const std::vector<candidate>&, bool hasRoom) const;
+    std::optional<candidate> chooseBetterOfTwo(const std::vector<candidate>&, bool hasFreeSlots) const;
     const candidate& drawByCapacity(const std::vector<candidate>&) const;
-    std::optional<candidate> chooseNearest(bool avoided, const route_request&, std::chrono::steady_clock::time_point now) const;
+    std::optional<candidate> chooseNearest(bool wantAvoided, const route_request&, std::chrono::steady_clock::time_point now) const;
 
-    node_location m_place;
-    chance_hook m_chance;
+    node_location m_location;
+    random_function m_random;
     member_list m_members;
     std::unordered_map<std::string, std::vector<const member*>> m_byService;
     std::unordered_map<std::uint64_t, const member*> m_byId;
--- a/Source/routing/server_pace.cpp
+++ b/Source/routing/server_pace.cpp
@@ -6,35 +6,37 @@
 
 namespace {
 
-    // The figure changes many times a second: what is older says nothing of now.
-    constexpr std::chrono::milliseconds figureLifetime { 300 };
-    // A server that tells its speed does so with each answer; one that answers nothing for so
-    // long is idle, or has stopped telling.
-    constexpr std::chrono::seconds knownLifetime { 5 };
-    // After a contradiction the next figures are not believed either.
-    constexpr std::chrono::seconds distrustTime { 1 };
-
-    // A run elsewhere then saves a third of its time, tens of milliseconds, for one more way
-    // between two nodes of about one.
-    constexpr double slowFrom = 1.5;
-
-    // Calls on their way to the server, or back, are in one count and not in the other.
-    constexpr std::uint32_t leastRunningToCompare = 8;
-    constexpr std::uint32_t runningPartTold = 2;
-
-    // Weight of one run among those of its class: some tens tell what is usual.
+    // The slowdown changes many times per second, so an older report is out of date.
+    constexpr std::chrono::milliseconds slowdownLifetime { 300 };
+    // A server that reports its speed does so with each answer. After this time without a report it
+    // is idle or has stopped reporting.
+    constexpr std::chrono::seconds reportLifetime { 5 };
+    // Reports are also ignored for this time after a contradiction.
+    constexpr std::chrono::seconds distrustPeriod { 1 };
+
+    // From this slowdown on, running a call at another server saves a third of its time, which is
+    // tens of milliseconds, and costs one more hop between two nodes, which is about one
+    // millisecond.
+    constexpr double slowThreshold = 1.5;
+
+    // Calls in transit to or from the server are in only one of the two counts, so small counts are
+    // not compared, and the node's own count may exceed the reported one by this factor.
+    constexpr std::uint32_t minRunningToCompare = 8;
+    constexpr std::uint32_t maxRunningRatio = 2;
+
+    // Weight of one run in the mean of its class, so that some tens of runs determine the mean.
     constexpr double runWeight = 1.0 / 16;
-    constexpr std::uint32_t leastRuns = 4;
-    // Classes that are told apart; a platform has some tens of routes to a service.
-    constexpr std::size_t mostClasses = 256;
+    constexpr std::uint32_t minRuns = 4;
+    // Maximum number of classes; a platform has some tens of routes to a service.
+    constexpr std::size_t maxClasses = 256;
 
 }
 
 void server_pace::reset()
 {
-    m_times.clear();
-    m_told.reset();
-    m_contradicted.reset();
+    m_serviceTimes.clear();
+    m_reportedAt.reset();
+    m_contradictedAt.reset();
 }
 
 bool server_pace::contradicts(const server_load& load, std::uint32_t announcedSlots, std::uint32_t ownRunning) const
@@ -42,62 +44,62 @@
     if (announcedSlots != 0 && load.slots != announcedSlots) {
         return true;
     }
-    return ownRunning >= leastRunningToCompare && (load.running + load.waiting) * runningPartTold < ownRunning;
+    return ownRunning >= minRunningToCompare && (load.running + load.waiting) * maxRunningRatio < ownRunning;
 }
 
 void server_pace::updateLoad(const server_load& load, std::uint32_t announcedSlots, std::uint32_t ownRunning, time_point now)
 {
     if (contradicts(load, announcedSlots, ownRunning)) {
         ++m_contradictions;
-        m_contradicted = now;
-        m_told.reset();
+        m_contradictedAt = now;
+        m_reportedAt.reset();
         return;
     }
-    bool isDistrusted = m_contradicted && now - *m_contradicted < distrustTime;
+    bool isDistrusted = m_contradictedAt && now - *m_contradictedAt < distrustPeriod;
     if (isDistrusted || !load.slowdown) {
         return;
     }
     m_slowdown = *load.slowdown;
-    m_told = now;
+    m_reportedAt = now;
 }
 
 void server_pace::recordRun(const std::string& requestClass, std::chrono::microseconds duration)
 {
-    auto found = m_times.find(requestClass);
-    if (found == m_times.end()) {
-        if (m_times.size() >= mostClasses) {
+    auto found = m_serviceTimes.find(requestClass);
+    if (found == m_serviceTimes.end()) {
+        if (m_serviceTimes.size() >= maxClasses) {
             return;
         }
-        found = m_times.emplace(requestClass, class_time {}).first;
+        found = m_serviceTimes.emplace(requestClass, class_service_time {}).first;
     }
-    auto& known = found->second;
-    ++known.runs;
-    auto weight = std::max(runWeight, 1.0 / known.runs);
-    known.microseconds += weight * (static_cast<double>(duration.count()) - known.microseconds);
+    auto& serviceTime = found->second;
+    ++serviceTime.runs;
+    auto weight = std::max(runWeight, 1.0 / serviceTime.runs);
+    serviceTime.meanMicroseconds += weight * (static_cast<double>(duration.count()) - serviceTime.meanMicroseconds);
 }
 
-bool server_pace::isKnown(time_point now) const
+bool server_pace::isSpeedKnown(time_point now) const
 {
-    return m_told && now - *m_told < knownLifetime;
+    return m_reportedAt && now - *m_reportedAt < reportLifetime;
 }
 
 double server_pace::slowdown(time_point now) const
 {
-    return m_told && now - *m_told < figureLifetime ? m_slowdown : 1;
+    return m_reportedAt && now - *m_reportedAt < slowdownLifetime ? m_slowdown : 1;
 }
 
 bool server_pace::isSlow(time_point now) const
 {
-    return slowdown(now) >= slowFrom;
+    return slowdown(now) >= slowThreshold;
 }
 
 std::optional<std::chrono::microseconds> server_pace::meanServiceTime(const std::string& requestClass, time_point now) const
 {
-    auto found = m_times.find(requestClass);
-    if (!isKnown(now) || found == m_times.end() || found->second.runs < leastRuns) {
+    auto found = m_serviceTimes.find(requestClass);
+    if (!isSpeedKnown(now) || found == m_serviceTimes.end() || found->second.runs < minRuns) {
         return std::nullopt;
     }
-    return std::chrono::microseconds(static_cast<std::int64_t>(found->second.microseconds));
+    return std::chrono::microseconds(static_cast<std::int64_t>(found->second.meanMicroseconds));
 }
 
 }
--- a/Source/routing/server_pace.h
+++ b/Source/routing/server_pace.h
@@ -10,52 +10,52 @@
 
 namespace vanillashunt {
 
-// How fast the server beside this node works: at this moment, by what it tells of its
-// machine, and usually, by the time that each class of requests has taken there. It
-// answers the load of servers that differ in speed, and of machines that are shared
-// with others and turn slow for parts of a second.
+// Tracks how fast the backend server beside this node works: its current slowdown, which the
+// server reports for its machine, and its mean service time for each class of requests. It allows
+// balancing calls over servers that differ in speed, and over machines that are shared with others
+// and become slow for fractions of a second.
 class server_pace {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // Another start of the server: nothing that was learnt holds.
+    // Discards all measurements, because another server process has started.
     void reset();
 
-    // The server told its load. The node itself knows the slots that it announced and the calls
-    // that it has with it; figures that contradict these are not believed.
+    // Takes in a load report of the server. The report is discarded if it contradicts the slots that
+    // the server announced, or the number of calls that this node runs at the server.
     void updateLoad(const server_load&, std::uint32_t announcedSlots, std::uint32_t ownRunning, time_point now);
 
-    // A call of the class has run at the server.
+    // Takes in the time that a call of the class has run at the server.
     void recordRun(const std::string& requestClass, std::chrono::microseconds);
 
-    // Whether the server has told of its speed, so that what is known here is for others to use.
-    bool isKnown(time_point now) const;
+    // Whether the server reports its speed, so that other nodes can use the measurements.
+    bool isSpeedKnown(time_point now) const;
 
-    // How much longer than usually work takes now; 1 where nothing was told lately.
+    // Current duration of work relative to the usual duration; 1 without a recent report.
     double slowdown(time_point now) const;
 
-    // Whether a call is better run elsewhere, if there is room.
+    // Whether a call should run at another server if one has a free slot.
     bool isSlow(time_point now) const;
 
-    // The time that a call of the class takes here; nothing before some have run, or where the
-    // server does not tell its speed.
+    // Mean service time of calls of the class; nothing before some have run, or if the server does
+    // not report its speed.
     std::optional<std::chrono::microseconds> meanServiceTime(const std::string& requestClass, time_point now) const;
 
-    // Figures that contradicted what the node itself knows.
+    // Number of load reports that contradicted what the node itself knows.
     std::uint64_t contradictions() const { return m_contradictions; }
 
 private:
-    struct class_time {
-        double microseconds = 0;
+    struct class_service_time {
+        double meanMicroseconds = 0;
         std::uint32_t runs = 0;
     };
 
     bool contradicts(const server_load&, std::uint32_t announcedSlots, std::uint32_t ownRunning) const;
 
-    std::unordered_map<std::string, class_time> m_times;
+    std::unordered_map<std::string, class_service_time> m_serviceTimes;
     double m_slowdown = 1;
-    std::optional<time_point> m_told;
-    std::optional<time_point> m_contradicted;
+    std::optional<time_point> m_reportedAt;
+    std::optional<time_point> m_contradictedAt;
     std::uint64_t m_contradictions = 0;
 };
 
--- a/Source/routing/target_view.cpp
+++ b/Source/routing/target_view.cpp
@@ -7,49 +7,51 @@
 
 namespace {
 
-    // How long a member is avoided after its first failure in a row; doubled with
-    // each further one.
-    constexpr std::chrono::milliseconds firstAvoidance { 100 };
-    constexpr std::chrono::milliseconds longestAvoidance { 3000 };
-    constexpr std::uint32_t mostDoublings = 5;
+    // Time for which a member is avoided after its first failure; doubled with each further failure
+    // in a row.
+    constexpr std::chrono::milliseconds initialAvoidance { 100 };
+    constexpr std::chrono::milliseconds maxAvoidance { 3000 };
+    constexpr std::uint32_t maxDoublings = 5;
 
-    // A report of load loses half of its weight in this time.
+    // A load report loses half of its weight in this time.
     constexpr std::chrono::milliseconds reportHalfLife { 200 };
 
-    // Bounds of a silence that is taken for one: well above what a lost packet or a
-    // busy machine costs, and well below the time that a request has.
-    constexpr std::chrono::duration<double> shortestSilence { 0.25 };
-    constexpr std::chrono::duration<double> longestSilence { 1.5 };
-    // So many times the usual pause between two answers.
-    constexpr double silentPauses = 6;
+    // Bounds of the time without an answer after which a member counts as unresponsive: well above
+    // the delay of a lost packet or a busy machine, and well below the time that a request has.
+    constexpr std::chrono::duration<double> minSilence { 0.25 };
+    constexpr std::chrono::duration<double> maxSilence { 1.5 };
+    // The time without an answer, in multiples of the mean interval between two answers.
+    constexpr double silenceFactor = 6;
     constexpr double latencyWeight = 0.2;
 
-    // Weight of one answer in the calls to other zones that follow from it, and the time
-    // after which what was reported counts for half.
+    // Weight of one answer in the mean number of calls to other zones, and the time after which a
+    // report counts for half.
     constexpr double crossingsWeight = 0.2;
     constexpr std::chrono::duration<double> crossingsHalfLife { 5 };
 
-    // Weight of one answer in the pace, which each tells for its own class of requests.
+    // Weight of one answer in the pace. Each answer reports the pace for its own class of requests.
     constexpr double paceWeight = 0.3;
 
-    // From so many on, a target without a connection gets one attempt at a time.
-    constexpr std::uint32_t unreachedBeforeProbing = 2;
+    // After this many failures to connect in a row, a target gets one attempt at a time.
+    constexpr std::uint32_t connectFailuresBeforeProbing = 2;
 
-    // Weight of an attempt's outcome in the part that is lost, and the time after
-    // which it counts for half: a target that is not used could not show that it is well.
-    constexpr double lostWeight = 0.1;
-    constexpr std::chrono::duration<double> lostHalfLife { 2 };
-    // A lost answer costs its whole request. A target that loses a fifth of them is
-    // taken for four fifths fuller than it is, so that another is preferred while it has room.
-    constexpr double loadOfLosingAll = 4;
+    // Weight of an attempt's outcome in the share of lost answers, and the time after which it counts
+    // for half. Without this decay, a target that is no longer used could not show that it has
+    // recovered.
+    constexpr double lossWeight = 0.1;
+    constexpr std::chrono::duration<double> lossHalfLife { 2 };
+    // A lost answer wastes its whole request. For a target that loses a fifth of its
+    // answers, four fifths of its limit are added to its load, so that another target is preferred
+    // while that one has free slots.
+    constexpr double loadAtTotalLoss = 4;
 
-    // Whether the member's server got the call and gave nothing back for it.
+    // Whether the member's server received the call and returned no result.
     bool isLost(verdict_reason reason)
     {
         return reason == verdict_reason::AnswerLost || reason == verdict_reason::BackendRefused;
     }
 
-    // Whether an outcome says that the member cannot serve, whatever its load.
+    // Whether an outcome shows that the member cannot serve calls, whatever its load.
     bool isFailure(verdict_reason reason)
     {
         switch (reason) {
@@ -73,7 +75,7 @@
 }
 
 target_view::target_view()
-    : m_lost(lostHalfLife)
+    : m_lossShare(lossHalfLife)
     , m_zoneCrossings(crossingsHalfLife)
 {
 }
@@ -81,7 +83,7 @@
 void target_view::started(std::chrono::steady_clock::time_point now)
 {
     if (m_outstanding == 0) {
-        m_owesSince = now;
+        m_unansweredSince = now;
     }
     ++m_outstanding;
 }
@@ -93,63 +95,64 @@
     }
 }
 
-void target_view::finished(const route_outcome& outcome, double chance, std::chrono::steady_clock::time_point now)
+void target_view::finished(const route_outcome& outcome, double randomFraction, std::chrono::steady_clock::time_point now)
 {
     cancelled();
-    m_lost.add(isLost(outcome.result.reason) ? 1 : 0, lostWeight, now);
-    m_unreachedInRow = outcome.result.reason == verdict_reason::PeerUnreachable ? m_unreachedInRow + 1 : 0;
+    m_lossShare.add(isLost(outcome.result.reason) ? 1 : 0, lossWeight, now);
+    m_consecutiveConnectFailures = outcome.result.reason == verdict_reason::PeerUnreachable ? m_consecutiveConnectFailures + 1 : 0;
     if (isFailure(outcome.result.reason)) {
-        failed(chance, now);
+        recordFailure(randomFraction, now);
         return;
     }
-    m_failuresInRow = 0;
+    m_consecutiveFailures = 0;
     m_avoidedUntil = {};
-    m_owesSince = now;
-    bool hasWaited = outcome.result.reason != verdict_reason::NoFreeSlot && outcome.result.reason != verdict_reason::Poison;
-    if (hasWaited) {
-        m_usualLatency += latencyWeight * (outcome.latency - m_usualLatency);
+    m_unansweredSince = now;
+    bool isLatencyMeaningful = outcome.result.reason != verdict_reason::NoFreeSlot && outcome.result.reason != verdict_reason::Poison;
+    if (isLatencyMeaningful) {
+        m_meanLatency += latencyWeight * (outcome.latency - m_meanLatency);
     }
     if (outcome.result.run == execution::Ran) {
-        notePace(outcome.pace);
+        updatePace(outcome.pace);
         m_zoneCrossings.add(outcome.zoneCrossings, crossingsWeight, now);
     }
-    noteLoad(outcome, now);
+    recordReportedLoad(outcome, now);
 }
 
-bool target_view::silent(std::chrono::steady_clock::time_point now) const
+bool target_view::isUnresponsive(std::chrono::steady_clock::time_point now) const
 {
     if (m_outstanding == 0) {
         return false;
     }
-    auto usualPause = m_usualLatency / m_outstanding;
-    auto shortest = m_usualLatency.count() > 0 ? std::max(shortestSilence, 2 * m_usualLatency) : longestSilence;
-    auto bound = std::clamp<std::chrono::duration<double>>(silentPauses * usualPause, std::min(shortest, longestSilence), longestSilence);
-    return now - m_owesSince > bound;
+    auto meanAnswerInterval = m_meanLatency / m_outstanding;
+    auto lowerBound = m_meanLatency.count() > 0 ? std::max(minSilence, 2 * m_meanLatency) : maxSilence;
+    auto maxUnansweredTime = std::clamp<std::chrono::duration<double>>(silenceFactor * meanAnswerInterval, std::min(lowerBound, maxSilence), maxSilence);
+    return now - m_unansweredSince > maxUnansweredTime;
 }
 
-bool target_view::outOfReach() const
+bool target_view::isUnreachable() const
 {
-    return m_unreachedInRow >= unreachedBeforeProbing && m_outstanding > 0;
+    return m_consecutiveConnectFailures >= connectFailuresBeforeProbing && m_outstanding > 0;
 }
 
-void target_view::failed(double chance, std::chrono::steady_clock::time_point now)
+void target_view::recordFailure(double randomFraction, std::chrono::steady_clock::time_point now)
 {
-    auto doublings = std::min(m_failuresInRow, mostDoublings);
-    ++m_failuresInRow;
-    auto longest = std::min<std::chrono::milliseconds>(firstAvoidance * (1 << doublings), longestAvoidance);
-    // Between half and the whole of it, so that the nodes do not return together.
-    auto length = std::chrono::duration<double, std::milli>(longest) * (0.5 + chance / 2);
-    m_avoidedUntil = now + std::chrono::duration_cast<std::chrono::microseconds>(length);
+    auto doublings = std::min(m_consecutiveFailures, maxDoublings);
+    ++m_consecutiveFailures;
+    auto fullAvoidance = std::min<std::chrono::milliseconds>(initialAvoidance * (1 << doublings), maxAvoidance);
+    // Random between half and the whole period, so that the nodes do not return at the same time.
+    auto avoidance = std::chrono::duration<double, std::milli>(fullAvoidance) * (0.5 + randomFraction / 2);
+    m_avoidedUntil = now + std::chrono::duration_cast<std::chrono::microseconds>(avoidance);
 }
 
-// A target that has stopped telling has another server, or one that stands still.
-void target_view::notePace(std::optional<double> told)
+// An answer without a pace discards the known pace: the target has another server, or its server
+// hangs.
+void target_view::updatePace(std::optional<double> reportedPace)
 {
-    if (!told || !m_pace) {
-        m_pace = told;
+    if (!reportedPace || !m_pace) {
+        m_pace = reportedPace;
         return;
     }
-    *m_pace += paceWeight * (*told - *m_pace);
+    *m_pace += paceWeight * (*reportedPace - *m_pace);
 }
 
 std::uint32_t target_view::limit(std::uint32_t slots) const
@@ -157,25 +160,25 @@
     return m_limit != 0 ? m_limit : std::max(slots, 1U);
 }
 
-void target_view::noteLoad(const route_outcome& outcome, std::chrono::steady_clock::time_point now)
+void target_view::recordReportedLoad(const route_outcome& outcome, std::chrono::steady_clock::time_point now)
 {
     if (outcome.limit == 0) {
         return;
     }
     m_limit = outcome.limit;
     m_othersInFlight = std::max(0.0, static_cast<double>(outcome.inFlight) - m_outstanding);
-    m_reported = now;
+    m_loadReportedAt = now;
 }
 
-bool target_view::toldLoadLately(std::chrono::steady_clock::time_point now) const
+bool target_view::hasRecentLoad(std::chrono::steady_clock::time_point now) const
 {
-    return m_limit != 0 && now - m_reported < reportHalfLife;
+    return m_limit != 0 && now - m_loadReportedAt < reportHalfLife;
 }
 
 double target_view::load(std::uint32_t slots, std::chrono::steady_clock::time_point now) const
 {
-    auto others = m_limit != 0 ? m_othersInFlight * decay(now - m_reported) : 0;
-    return (m_outstanding + others) / limit(slots) + loadOfLosingAll * m_lost.get(now);
+    auto othersInFlight = m_limit != 0 ? m_othersInFlight * decay(now - m_loadReportedAt) : 0;
+    return (m_outstanding + othersInFlight) / limit(slots) + loadAtTotalLoss * m_lossShare.get(now);
 }
 
 }
--- a/Source/routing/target_view.h
+++ b/Source/routing/target_view.h
@@ -10,7 +10,7 @@
 
 namespace vanillashunt {
 
-// What an attempt told of the member that it went to.
+// The outcome of an attempt and the state that the member reported with it.
 struct route_outcome {
     verdict result;
     std::chrono::microseconds latency { 0 };
@@ -18,73 +18,74 @@
     // Calls at the member's backend server or waiting for it, and their limit.
     std::uint32_t inFlight = 0;
     std::uint32_t limit = 0;
-    // Calls below it that went to another availability zone.
+    // Calls to another availability zone that were made below the attempt.
     std::uint32_t zoneCrossings = 0;
-    // How much longer than the mean a call takes there; nothing where it does not tell.
+    // Service time relative to the mean, 2 is twice as slow; nothing if the member does not report
+    // it.
     std::optional<double> pace {};
 };
 
-// What this node has seen itself of one other member: its load, and whether it answers.
+// What this node has observed itself of one other member: its load, and whether it answers.
 class target_view {
 public:
     target_view();
 
     void started(std::chrono::steady_clock::time_point now);
-    // The chance spreads the end of an avoidance over the nodes; it is in [0, 1).
-    void finished(const route_outcome&, double chance, std::chrono::steady_clock::time_point now);
+    // The random fraction in [0, 1) spreads the end of an avoidance period over the nodes.
+    void finished(const route_outcome&, double randomFraction, std::chrono::steady_clock::time_point now);
     void cancelled();
 
-    // Whether it failed so recently that another member is to be preferred.
-    bool avoided(std::chrono::steady_clock::time_point now) const { return now < m_avoidedUntil; }
+    // Whether it failed so recently that other members are preferred.
+    bool isAvoided(std::chrono::steady_clock::time_point now) const { return now < m_avoidedUntil; }
 
-    // Whether it owes answers and has sent none for so much longer than usual that
-    // it is out of reach, or stands still.
-    bool silent(std::chrono::steady_clock::time_point now) const;
+    // Whether calls are outstanding and no answer has come for so much longer than usual that the
+    // member cannot be reached or hangs.
+    bool isUnresponsive(std::chrono::steady_clock::time_point now) const;
 
-    // Whether no connection to it came about lately, and one more is being tried: a
-    // further call would only wait for the same end.
-    bool outOfReach() const;
+    // Whether recent attempts to connect to it failed and another one is in progress. A further call
+    // would only wait for the same result.
+    bool isUnreachable() const;
 
-    // Part of its limit that is in use, and more where it loses answers, as far as this node knows; over 1 where
-    // calls wait. Slots stand in for a limit that was never reported.
+    // Calls at the member divided by its limit, as far as this node knows, plus a surcharge if it
+    // loses answers; above 1 if calls wait. The slots are used as the limit until one is reported.
     double load(std::uint32_t slots, std::chrono::steady_clock::time_point now) const;
 
-    // Calls that it runs at once, as far as this node knows.
+    // Number of calls that it runs at once, as far as this node knows.
     std::uint32_t limit(std::uint32_t slots) const;
 
-    // How much longer than the mean a call takes there; nothing where it does not tell.
+    // Service time relative to the mean; nothing if the member does not report it.
     std::optional<double> pace() const { return m_pace; }
 
-    // Whether it told its load a moment ago, so that load() says how it is.
-    bool toldLoadLately(std::chrono::steady_clock::time_point now) const;
+    // Whether it reported its load recently, so that load() is up to date.
+    bool hasRecentLoad(std::chrono::steady_clock::time_point now) const;
 
-    // How many calls to other zones follow from one call to it, usually. What was
-    // reported long ago counts less, so that it is tried again.
+    // Mean number of calls to other zones that follow from one call to it. Old reports count less,
+    // so that the member is tried again.
     double zoneCrossings(std::chrono::steady_clock::time_point now) const { return m_zoneCrossings.get(now); }
 
     std::uint32_t outstanding() const { return m_outstanding; }
 
 private:
-    void failed(double chance, std::chrono::steady_clock::time_point now);
-    void notePace(std::optional<double> told);
-    void noteLoad(const route_outcome&, std::chrono::steady_clock::time_point now);
+    void recordFailure(double randomFraction, std::chrono::steady_clock::time_point now);
+    void updatePace(std::optional<double> reportedPace);
+    void recordReportedLoad(const route_outcome&, std::chrono::steady_clock::time_point now);
 
     std::uint32_t m_outstanding = 0;
-    // Attempts in a row for which no connection came about.
-    std::uint32_t m_unreachedInRow = 0;
-    // Part of the attempts that brought no answer, the latest counting most.
-    fading_mean m_lost;
-    std::uint32_t m_failuresInRow = 0;
-    // Since when at least one answer is owed and none has come.
-    std::chrono::steady_clock::time_point m_owesSince;
-    // Usual time until an answer; zero before the first.
-    std::chrono::duration<double> m_usualLatency { 0 };
+    // Consecutive attempts that failed to connect.
+    std::uint32_t m_consecutiveConnectFailures = 0;
+    // Share of the attempts whose answer was lost; recent attempts count most.
+    fading_mean m_lossShare;
+    std::uint32_t m_consecutiveFailures = 0;
+    // Time since which at least one call is outstanding and no answer has come.
+    std::chrono::steady_clock::time_point m_unansweredSince;
+    // Mean time until an answer; zero before the first one.
+    std::chrono::duration<double> m_meanLatency { 0 };
     std::chrono::steady_clock::time_point m_avoidedUntil;
-    // The last report, less this node's own calls at that time.
+    // Calls in the last load report, minus this node's own calls at that time.
     double m_othersInFlight = 0;
     std::uint32_t m_limit = 0;
     std::optional<double> m_pace;
-    std::chrono::steady_clock::time_point m_reported;
+    std::chrono::steady_clock::time_point m_loadReportedAt;
     fading_mean m_zoneCrossings;
 };
 
--- a/Tests/DestinationRotation/destination_rotation_test.cpp
+++ b/Tests/DestinationRotation/destination_rotation_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    // As many nodes as a deployment of some hundred machines has.
+    // Number of nodes in a deployment of some hundred machines.
     constexpr int nodeCount = 195;
 
     route splitOf(const std::vector<double>& weights)
@@ -25,7 +25,7 @@
         return result;
     }
 
-    // Many nodes, each with a rotation of its own, as the entries of one deployment.
+    // Many nodes of one deployment, each with a rotation of its own.
     class rotating_nodes {
     public:
         explicit rotating_nodes(std::uint64_t seed)
@@ -36,8 +36,9 @@
             }
         }
 
-        // Each node sees so many requests; the part of all of them that the first destination gets.
-        double firstPart(const route& split, int requestsEach)
+        // Sends requestsEach requests to each node. Returns the share of all requests that the first
+        // destination gets.
+        double firstShare(const route& split, int requestsEach)
         {
             int first = 0;
             for (auto& node : m_nodes) {
@@ -60,9 +61,9 @@
         std::vector<destination_rotation> m_nodes;
     };
 
-    // Each node's count is off by chance by one request at most, and by less than half of
-    // one on average: four standard deviations of the sum of all nodes, as a part.
-    double mostOff(int requestsEach)
+    // Allowed deviation of a share: four standard deviations of the sum over all nodes. The count of
+    // one node deviates randomly by at most one request, with a standard deviation below one half.
+    double tolerance(int requestsEach)
     {
         constexpr double deviationOfOneNode = 0.5;
         return 4 * deviationOfOneNode * std::sqrt(nodeCount) / (nodeCount * requestsEach);
@@ -70,65 +71,66 @@
 
 }
 
-// Every run of requests has the weights' parts, whatever turns some of them away.
-TEST(DestinationRotation, KeepsThePartsInEveryRunOfRequests)
+// The proportions hold in every sequence of requests, so they also hold if some of the requests are
+// refused.
+TEST(DestinationRotation, KeepsTheProportionsInEverySequenceOfRequests)
 {
     std::mt19937_64 random(3);
     destination_rotation rotation([&random] { return std::uniform_real_distribution<double>()(random); });
     auto split = splitOf({ 90, 10 });
-    constexpr int runs = 20;
-    constexpr int runLength = 50;
-    for (int run = 0; run < runs; ++run) {
+    constexpr int sequences = 20;
+    constexpr int sequenceLength = 50;
+    for (int sequence = 0; sequence < sequences; ++sequence) {
         std::map<std::string, int> counts;
-        for (int i = 0; i < runLength; ++i) {
+        for (int i = 0; i < sequenceLength; ++i) {
             ++counts[rotation.next(split)];
         }
-        EXPECT_NEAR(counts["part-1"], 0.1 * runLength, 1);
+        EXPECT_NEAR(counts["part-1"], 0.1 * sequenceLength, 1);
     }
 }
 
-// The load: 195 nodes that see one to five requests of a route each. Where every node
-// begins with the part that it owes most, the sum over the nodes is not the weights'.
-TEST(DestinationRotation, KeepsThePartsInTheSumOfManyNodesThatSeeFewRequests)
+// 195 nodes see one to five requests of a route each. Guards against nodes that send each request
+// to the destination furthest below its share: the sum over the nodes then misses the weights.
+TEST(DestinationRotation, KeepsTheProportionsOverManyNodesWithFewRequests)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         for (double weight : { 50.0, 10.0, 1.0 }) {
             for (int requestsEach : { 1, 2, 3, 5 }) {
                 rotating_nodes nodes(seed);
-                EXPECT_NEAR(nodes.firstPart(splitOf({ weight, 100 - weight }), requestsEach), weight / 100, mostOff(requestsEach));
+                EXPECT_NEAR(nodes.firstShare(splitOf({ weight, 100 - weight }), requestsEach), weight / 100, tolerance(requestsEach));
             }
         }
     }
 }
 
-TEST(DestinationRotation, KeepsThePartsOfThreeDestinationsInTheSum)
+TEST(DestinationRotation, KeepsTheProportionsOfThreeDestinationsOverManyNodes)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         rotating_nodes nodes(seed);
-        EXPECT_NEAR(nodes.firstPart(splitOf({ 20, 30, 50 }), 2), 0.2, mostOff(2));
+        EXPECT_NEAR(nodes.firstShare(splitOf({ 20, 30, 50 }), 2), 0.2, tolerance(2));
     }
 }
 
-// A version with other weights comes while each node has seen three requests.
-TEST(DestinationRotation, KeepsThePartsInTheSumWhenTheWeightsChange)
+// The weights change after each node has seen three requests.
+TEST(DestinationRotation, KeepsTheProportionsOverManyNodesWhenTheWeightsChange)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(seed);
         rotating_nodes nodes(seed);
-        nodes.firstPart(splitOf({ 90, 10 }), 3);
+        nodes.firstShare(splitOf({ 90, 10 }), 3);
         auto changed = splitOf({ 50, 50 });
         nodes.setRoutes({ changed });
-        EXPECT_NEAR(nodes.firstPart(changed, 2), 0.5, mostOff(2));
+        EXPECT_NEAR(nodes.firstShare(changed, 2), 0.5, tolerance(2));
     }
 }
 
-TEST(DestinationRotation, GivesNothingToADestinationOfNoWeight)
+TEST(DestinationRotation, GivesNoRequestsToADestinationWithoutWeight)
 {
     rotating_nodes nodes(1);
-    EXPECT_EQ(nodes.firstPart(splitOf({ 0, 1 }), 50), 0);
-    EXPECT_EQ(nodes.firstPart(splitOf({ 1, 0 }), 50), 1);
+    EXPECT_EQ(nodes.firstShare(splitOf({ 0, 1 }), 50), 0);
+    EXPECT_EQ(nodes.firstShare(splitOf({ 1, 0 }), 50), 1);
 }
 
 }
--- a/Tests/RouteTable/route_table_test.cpp
+++ b/Tests/RouteTable/route_table_test.cpp
@@ -30,7 +30,7 @@
 
 }
 
-TEST(RouteTable, TakesTheLongestPrefixOfTheHost)
+TEST(RouteTable, ChoosesTheLongestPrefixOfTheHost)
 {
     auto table = tableOf({ routeTo("short", "a.example", "/x/"), routeTo("long", "a.example", "/x/y/"), routeTo("other", "b.example", "/x/y/z/") });
     EXPECT_EQ(nameOf(table.find("a.example", "/x/y/z/1")), "long");
@@ -38,13 +38,13 @@
     EXPECT_EQ(nameOf(table.find("b.example", "/x/y/1")), "none");
 }
 
-TEST(RouteTable, TakesTheHostInAnyCaseAndWithAPort)
+TEST(RouteTable, IgnoresTheCaseAndThePortOfTheHost)
 {
     auto table = tableOf({ routeTo("one", "A.example", "/x/") });
     EXPECT_EQ(nameOf(table.find("a.EXAMPLE:8080", "/x/1")), "one");
 }
 
-TEST(RouteTable, DoesNotTakeAQueryForThePath)
+TEST(RouteTable, IgnoresTheQuery)
 {
     auto table = tableOf({ routeTo("one", "a.example", "/x/y/") });
     EXPECT_EQ(nameOf(table.find("a.example", "/x?to=/x/y/")), "none");
--- a/Tests/Routing/routing_test.cpp
+++ b/Tests/Routing/routing_test.cpp
@@ -23,7 +23,7 @@
         return entry;
     }
 
-    // A router in zone "a" that knows these members.
+    // Returns a router in zone "a" that knows the members.
     router routerWith(const std::vector<member>& members)
     {
         auto random = std::make_shared<std::mt19937_64>(1);
@@ -32,12 +32,12 @@
         return result;
     }
 
-    // The members that many calls would go to now.
-    std::set<std::uint64_t> choices(router& from, const std::vector<std::uint64_t>& tried = {}, time_point now = {})
+    // Returns the ids of the members that are chosen for 200 calls.
+    std::set<std::uint64_t> choices(router& testedRouter, const std::vector<std::uint64_t>& tried = {}, time_point now = {})
     {
         std::set<std::uint64_t> chosen;
         for (int i = 0; i < 200; ++i) {
-            if (auto target = from.choose({ "threads", tried }, now)) {
+            if (auto target = testedRouter.choose({ "threads", tried }, now)) {
                 chosen.insert(target->id);
             }
         }
@@ -48,37 +48,38 @@
 
 }
 
-TEST(Routing, StaysInTheOwnZoneThenTheOwnRegion)
+TEST(Routing, PrefersTheOwnZoneThenTheOwnRegion)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "b"), serverIn(3, "c", "midlands") });
-    EXPECT_EQ(choices(both), ids { 1 });
-    auto other = routerWith({ serverIn(2, "b"), serverIn(3, "c", "midlands") });
-    EXPECT_EQ(choices(other), ids { 2 });
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "b"), serverIn(3, "c", "midlands") });
+    EXPECT_EQ(choices(testRouter), ids { 1 });
+    auto routerWithoutOwnZone = routerWith({ serverIn(2, "b"), serverIn(3, "c", "midlands") });
+    EXPECT_EQ(choices(routerWithoutOwnZone), ids { 2 });
 }
 
-TEST(Routing, SpillsWhenTheOwnZoneIsFull)
+TEST(Routing, ChoosesAnotherZoneWhenTheOwnZoneIsFull)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
     for (int i = 0; i < 12; ++i) {
-        both.started(1, {});
+        testRouter.started(1, {});
     }
-    EXPECT_EQ(choices(both), ids { 2 });
+    EXPECT_EQ(choices(testRouter), ids { 2 });
 }
 
-// The load: two of three zones have lost their servers of a middle service, and the third
-// one its servers of the service below, to which four calls follow from each. From the
-// middle service's callers on, every call crossed zones: 0.041 of a day's worth for bytes.
-TEST(Routing, GoesToTheZoneFromWhichFewerCallsFollowToOthers)
+// Two of three zones have lost their servers of one service, and the third zone has lost its servers
+// of the service below, to which four calls follow from each call. Guards against a choice after
+// which every call from the callers of the upper service on crosses zones, so that bytes between
+// zones cost 0.041 of a day's worth.
+TEST(Routing, PrefersTheZoneWithFewerCallsToOtherZones)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "b"), serverIn(3, "c") });
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "b"), serverIn(3, "c") });
     time_point now { std::chrono::seconds(100) };
-    auto report = [&both, now](std::uint64_t id, std::uint32_t crossings) {
-        both.started(id, now);
+    auto report = [&testRouter, now](std::uint64_t id, std::uint32_t crossings) {
+        testRouter.started(id, now);
         route_outcome outcome;
         outcome.result = verdict::answered();
         outcome.zoneCrossings = crossings;
         outcome.limit = 10;
-        both.finished(id, outcome, now);
+        testRouter.finished(id, outcome, now);
     };
     for (int i = 0; i < 20; ++i) {
         report(1, 4);
@@ -86,144 +87,144 @@
         report(3, 4);
     }
     for (int i = 0; i < 200; ++i) {
-        auto chosen = both.choose({ "threads", {} }, now);
+        auto chosen = testRouter.choose({ "threads", {} }, now);
         ASSERT_TRUE(chosen);
         EXPECT_NE(chosen->id, 1U);
     }
-    // One call more or less is not worth the way.
+    // A difference of one call does not justify a call to another zone.
     for (int i = 0; i < 40; ++i) {
         report(1, 1);
     }
-    EXPECT_EQ(choices(both, {}, now), ids { 1 });
+    EXPECT_EQ(choices(testRouter, {}, now), ids { 1 });
 }
 
-TEST(Routing, SavesNoCallsToOtherZonesWhereTheOtherZoneHasNoRoom)
+TEST(Routing, IgnoresSavedCallsToOtherZonesIfTheOtherZoneIsFull)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
     time_point now { std::chrono::seconds(100) };
     for (int i = 0; i < 20; ++i) {
-        both.started(1, now);
+        testRouter.started(1, now);
         route_outcome outcome;
         outcome.result = verdict::answered();
         outcome.zoneCrossings = 4;
         outcome.limit = 10;
-        both.finished(1, outcome, now);
+        testRouter.finished(1, outcome, now);
     }
-    EXPECT_EQ(choices(both, {}, now), ids { 2 });
+    EXPECT_EQ(choices(testRouter, {}, now), ids { 2 });
     for (int i = 0; i < 8; ++i) {
-        both.started(2, now);
+        testRouter.started(2, now);
     }
-    EXPECT_EQ(choices(both, {}, now), ids { 1 });
+    EXPECT_EQ(choices(testRouter, {}, now), ids { 1 });
 }
 
-TEST(Routing, TriesAnotherServerThanBefore)
+TEST(Routing, DoesNotChooseTriedServers)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "a") });
-    EXPECT_EQ(choices(both, { 1 }), ids { 2 });
-    EXPECT_EQ(choices(both, { 1, 2 }), ids {});
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "a") });
+    EXPECT_EQ(choices(testRouter, { 1 }), ids { 2 });
+    EXPECT_EQ(choices(testRouter, { 1, 2 }), ids {});
 }
 
-TEST(Routing, AvoidsWhatFailedAndComesBackToIt)
+TEST(Routing, AvoidsAFailedServerForAWhile)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "a") });
-    both.started(1, {});
-    both.finished(1, { verdict::notRun(verdict_reason::PeerUnreachable), {}, 0, 0, 0 }, {});
-    EXPECT_EQ(choices(both), ids { 2 });
-    EXPECT_EQ(choices(both, {}, time_point() + milliseconds(101)), (ids { 1, 2 }));
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "a") });
+    testRouter.started(1, {});
+    testRouter.finished(1, { verdict::notRun(verdict_reason::PeerUnreachable), {}, 0, 0, 0 }, {});
+    EXPECT_EQ(choices(testRouter), ids { 2 });
+    EXPECT_EQ(choices(testRouter, {}, time_point() + milliseconds(101)), (ids { 1, 2 }));
 }
 
-// Found by reading: the router did not look at whether a zone can be reached.
-TEST(Routing, PrefersAnyReachableServerAndUsesAnotherOnlyIfThereIsNone)
+// Guards against a router that ignores whether a zone can be reached.
+TEST(Routing, ChoosesAnUnreachableServerOnlyIfNoneIsReachable)
 {
-    auto cut = serverIn(1, "a");
-    cut.reachable = false;
-    auto both = routerWith({ cut, serverIn(2, "b") });
-    EXPECT_EQ(choices(both), ids { 2 });
-    auto alone = routerWith({ cut });
-    EXPECT_EQ(choices(alone), ids { 1 });
+    auto unreachable = serverIn(1, "a");
+    unreachable.reachable = false;
+    auto testRouter = routerWith({ unreachable, serverIn(2, "b") });
+    EXPECT_EQ(choices(testRouter), ids { 2 });
+    auto unreachableOnly = routerWith({ unreachable });
+    EXPECT_EQ(choices(unreachableOnly), ids { 1 });
 }
 
-TEST(Routing, LeavingServersGetNothing)
+TEST(Routing, DoesNotChooseDrainingServers)
 {
-    auto leaving = serverIn(1, "a");
-    leaving.state = member_state::Draining;
-    auto both = routerWith({ leaving, serverIn(2, "b") });
-    EXPECT_EQ(choices(both), ids { 2 });
+    auto draining = serverIn(1, "a");
+    draining.state = member_state::Draining;
+    auto testRouter = routerWith({ draining, serverIn(2, "b") });
+    EXPECT_EQ(choices(testRouter), ids { 2 });
 }
 
-// The load: a zone is cut off while its members owe answers. Calls went on to them
-// until three had failed by time-out.
-TEST(Routing, AvoidsAMemberThatOwesAnswersAndIsSilent)
+// Guards against further calls to the members of a zone that is cut off while calls to them are
+// outstanding. Without a bound on the time without answers, calls go on until three have timed out.
+TEST(Routing, AvoidsAMemberThatStopsAnswering)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
     time_point now { std::chrono::seconds(100) };
-    both.started(1, now);
-    both.finished(1, { verdict::answered(), milliseconds(20) }, now);
-    both.started(1, now);
-    EXPECT_EQ(choices(both, {}, now + milliseconds(100)), ids { 1 });
-    EXPECT_EQ(choices(both, {}, now + milliseconds(400)), ids { 2 });
-    both.finished(1, { verdict::answered(), milliseconds(420) }, now + milliseconds(420));
-    EXPECT_EQ(choices(both, {}, now + milliseconds(430)), ids { 1 });
+    testRouter.started(1, now);
+    testRouter.finished(1, { verdict::answered(), milliseconds(20) }, now);
+    testRouter.started(1, now);
+    EXPECT_EQ(choices(testRouter, {}, now + milliseconds(100)), ids { 1 });
+    EXPECT_EQ(choices(testRouter, {}, now + milliseconds(400)), ids { 2 });
+    testRouter.finished(1, { verdict::answered(), milliseconds(420) }, now + milliseconds(420));
+    EXPECT_EQ(choices(testRouter, {}, now + milliseconds(430)), ids { 1 });
 }
 
-// The load: two of a service's three servers lose a third of their answers. Calls kept
-// going to the nearest, and each lost one cost a request that had used three services
-// (810 answers 502 in five seconds).
-TEST(Routing, PrefersAMemberThatLosesNoAnswers)
+// Guards against calls that keep going to the nearest server although it loses answers. If two of
+// a service's three servers lose a third of their answers, each lost answer wastes a request that
+// has used three services: 810 requests are answered with status 502 in five seconds.
+TEST(Routing, AvoidsAMemberThatLosesAnswers)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "b") });
     time_point now { std::chrono::seconds(100) };
     for (int i = 0; i < 60; ++i) {
-        both.started(1, now);
-        both.finished(1, { i % 3 == 0 ? verdict::mayHaveRun(verdict_reason::AnswerLost) : verdict::answered(), milliseconds(20), 0, 6, 10 }, now);
+        testRouter.started(1, now);
+        testRouter.finished(1, { i % 3 == 0 ? verdict::mayHaveRun(verdict_reason::AnswerLost) : verdict::answered(), milliseconds(20), 0, 6, 10 }, now);
     }
     now += milliseconds(500);
-    EXPECT_EQ(choices(both, {}, now), ids { 2 });
-    // It is tried again after a while.
-    EXPECT_EQ(choices(both, {}, now + std::chrono::seconds(8)), ids { 1 });
+    EXPECT_EQ(choices(testRouter, {}, now), ids { 2 });
+    // The member is tried again after a while.
+    EXPECT_EQ(choices(testRouter, {}, now + std::chrono::seconds(8)), ids { 1 });
 }
 
-// The load: the only server of a service lies beyond a cut. Each request waited for a
-// connection of its own, 250 ms, and was refused then (1053 in six seconds).
-TEST(Routing, TriesAMemberOutOfReachOnceAtATime)
+// Guards against requests that each wait 250 ms for a connection of their own and are then refused,
+// 1053 of them in six seconds. This happens if the network to the only server of a service is cut.
+TEST(Routing, TriesAnUnreachableMemberWithOneCallAtATime)
 {
-    auto only = routerWith({ serverIn(1, "b") });
+    auto singleServerRouter = routerWith({ serverIn(1, "b") });
     time_point now { std::chrono::seconds(100) };
     for (int i = 0; i < 3; ++i) {
-        only.started(1, now);
-        only.finished(1, { verdict::notRun(verdict_reason::PeerUnreachable) }, now);
+        singleServerRouter.started(1, now);
+        singleServerRouter.finished(1, { verdict::notRun(verdict_reason::PeerUnreachable) }, now);
     }
-    EXPECT_EQ(choices(only, {}, now), ids { 1 });
-    only.started(1, now);
-    EXPECT_EQ(choices(only, {}, now), ids {});
-    only.finished(1, { verdict::answered(), milliseconds(20), 0, 1, 10 }, now);
-    EXPECT_EQ(choices(only, {}, now), ids { 1 });
+    EXPECT_EQ(choices(singleServerRouter, {}, now), ids { 1 });
+    singleServerRouter.started(1, now);
+    EXPECT_EQ(choices(singleServerRouter, {}, now), ids {});
+    singleServerRouter.finished(1, { verdict::answered(), milliseconds(20), 0, 1, 10 }, now);
+    EXPECT_EQ(choices(singleServerRouter, {}, now), ids { 1 });
 }
 
-// The load: servers of one service of which some need three times as long as the others.
-TEST(Routing, PrefersFastServersWhileThereIsRoomAndKeepsATrickleForSlowOnes)
+// Some servers of a service need three times as long as the others.
+TEST(Routing, PrefersFastServersWithFreeSlotsAndKeepsProbingSlowOnes)
 {
-    auto both = routerWith({ serverIn(1, "a"), serverIn(2, "a") });
+    auto testRouter = routerWith({ serverIn(1, "a"), serverIn(2, "a") });
     time_point now { std::chrono::seconds(100) };
     for (std::uint64_t id : { 1U, 2U }) {
-        both.started(id, now);
+        testRouter.started(id, now);
         route_outcome outcome { verdict::answered(), milliseconds(30), 0, 0, 10 };
         outcome.pace = id == 1 ? 0.75 : 2.25;
-        both.finished(id, outcome, now);
+        testRouter.finished(id, outcome, now);
     }
-    auto slowPart = [&both, now](bool hasRoom) {
+    auto slowShare = [&testRouter, now](bool hasFreeSlots) {
         constexpr int calls = 4000;
         int slow = 0;
         for (int i = 0; i < calls; ++i) {
-            slow += both.choose({ "threads", {}, hasRoom }, now)->id == 2 ? 1 : 0;
+            slow += testRouter.choose({ "threads", {}, hasFreeSlots }, now)->id == 2 ? 1 : 0;
         }
         return static_cast<double>(slow) / calls;
     };
-    auto withRoom = slowPart(true);
-    EXPECT_LT(withRoom, 0.12);
-    EXPECT_GT(withRoom, 0.01);
-    // By what each ends: a quarter of the calls.
-    EXPECT_NEAR(slowPart(false), 0.25, 0.04);
+    auto withFreeSlots = slowShare(true);
+    EXPECT_LT(withFreeSlots, 0.12);
+    EXPECT_GT(withFreeSlots, 0.01);
+    // In proportion to its throughput, the slow server gets a quarter of the calls.
+    EXPECT_NEAR(slowShare(false), 0.25, 0.04);
 }
 
 }
--- a/Tests/ServerPace/server_pace_test.cpp
+++ b/Tests/ServerPace/server_pace_test.cpp
@@ -1,6 +1,6 @@
 #include "platform/load_header.h"
 #include "platform/request_headers.h"
-#include "routing/expected_time.h"
+#include "routing/expected_response_time.h"
 #include "routing/relative_pace.h"
 #include "routing/server_pace.h"
 
@@ -24,28 +24,29 @@
 
 }
 
-// A machine that a server shares with others: two and a half times as slow for parts of a second.
-TEST(ServerPace, IsSlowWhileTheServerTellsItAndNotLonger)
+// A server shares its machine with others, which makes it two and a half times as slow for fractions
+// of a second.
+TEST(ServerPace, IsSlowOnlyWhileTheServerReportsIt)
 {
     server_pace pace;
-    EXPECT_FALSE(pace.isKnown(start));
+    EXPECT_FALSE(pace.isSpeedKnown(start));
     pace.updateLoad(loadOf(5, 2.5), slots, 5, start);
-    EXPECT_TRUE(pace.isKnown(start));
+    EXPECT_TRUE(pace.isSpeedKnown(start));
     EXPECT_TRUE(pace.isSlow(start + milliseconds(100)));
     EXPECT_DOUBLE_EQ(pace.slowdown(start + milliseconds(100)), 2.5);
-    // Reports that stop: nobody knows what holds now.
+    // Without further reports the current speed is unknown.
     EXPECT_FALSE(pace.isSlow(start + milliseconds(400)));
     pace.updateLoad(loadOf(5, 1), slots, 5, start + milliseconds(500));
     EXPECT_FALSE(pace.isSlow(start + milliseconds(500)));
 }
 
-TEST(ServerPace, DoesNotBelieveFiguresThatContradictTheNodesOwn)
+TEST(ServerPace, IgnoresReportsThatContradictTheNodesOwnCounts)
 {
     server_pace pace;
     pace.updateLoad(loadOf(0, 2.5), slots, 20, start);
     EXPECT_EQ(pace.contradictions(), 1U);
     EXPECT_FALSE(pace.isSlow(start));
-    // What it tells next is not believed either, and is again a while later.
+    // The next report is ignored, too. Reports are accepted again after a while.
     pace.updateLoad(loadOf(20, 2.5), slots, 20, start + milliseconds(100));
     EXPECT_FALSE(pace.isSlow(start + milliseconds(100)));
     pace.updateLoad(loadOf(20, 2.5), slots, 20, start + milliseconds(1200));
@@ -54,8 +55,8 @@
     EXPECT_EQ(pace.contradictions(), 2U);
 }
 
-// What is on its way is in one count and not in the other.
-TEST(ServerPace, BearsCallsOnTheirWay)
+// Calls in transit are in only one of the two counts.
+TEST(ServerPace, AcceptsReportsThatDifferByCallsInTransit)
 {
     server_pace pace;
     pace.updateLoad(loadOf(0, 2.5), slots, 5, start);
@@ -63,7 +64,7 @@
     EXPECT_EQ(pace.contradictions(), 0U);
 }
 
-TEST(ServerPace, TellsUsualTimesOnlyOfServersThatTellTheirSpeed)
+TEST(ServerPace, ReturnsServiceTimesOnlyIfTheServerReportsItsSpeed)
 {
     server_pace pace;
     for (int i = 0; i < 10; ++i) {
@@ -74,7 +75,7 @@
     pace.updateLoad(loadOf(5, 1), slots, 5, start);
     EXPECT_EQ(pace.meanServiceTime("read", start), microseconds(milliseconds(80)));
     EXPECT_FALSE(pace.meanServiceTime("write", start));
-    // A restart under the same address begins anew.
+    // After a restart under the same address the measurements start anew.
     pace.reset();
     EXPECT_FALSE(pace.meanServiceTime("read", start));
     EXPECT_FALSE(pace.isSlow(start));
@@ -97,20 +98,20 @@
 {
     for (std::uint32_t limit : { 1U, 20U, 300U }) {
         SCOPED_TRACE(limit);
-        double last = 0;
+        double previous = 0;
         for (double load = 0; load < 3; load += 0.01) {
-            auto time = expectedTime(1, load, limit);
-            EXPECT_GE(time, last);
-            EXPECT_DOUBLE_EQ(expectedTime(2, load, limit), 2 * time);
-            last = time;
+            auto time = expectedResponseTime(1, load, limit);
+            EXPECT_GE(time, previous);
+            EXPECT_DOUBLE_EQ(expectedResponseTime(2, load, limit), 2 * time);
+            previous = time;
         }
     }
-    // Of many slots a part is free at most loads; of few there is a wait long before.
-    EXPECT_LT(expectedTime(1, 0.9, 300), 1.01);
-    EXPECT_GT(expectedTime(1, 0.9, 4), 1.3);
+    // Among many slots some are free at most loads. With few slots calls wait at much lower loads.
+    EXPECT_LT(expectedResponseTime(1, 0.9, 300), 1.01);
+    EXPECT_GT(expectedResponseTime(1, 0.9, 4), 1.3);
 }
 
-TEST(LoadHeader, IsReadWithThreeFiguresOrFour)
+TEST(LoadHeader, IsReadWithThreeOrFourNumbers)
 {
     auto three = parseServerLoad("3,1,8");
     ASSERT_TRUE(three);
@@ -123,21 +124,21 @@
     EXPECT_DOUBLE_EQ(four->slowdown.value_or(0), 2.5);
 }
 
-TEST(LoadHeader, IsRefusedWhereNoServerWroteIt)
+TEST(LoadHeader, IsRejectedIfMalformed)
 {
     for (const char* text : { "", ",", "3,1", "3,1,8,100,1", "a,1,8", "-3,1,8", "3,1,0", "9,1,8", "3,1,8,0", "3,1,8,-5", "3,1,8,1e3", "3,1,8,999999999999", "3.5,1,8", "3,1,8,", "99999999999,1,8" }) {
         EXPECT_FALSE(parseServerLoad(text)) << text;
     }
 }
 
-TEST(LoadHeader, ThatCannotBeReadIsToldApartFromNone)
+TEST(LoadHeader, UnreadableIsDistinguishedFromMissing)
 {
     auto readable = readAnswerMarks({ { "Vanillashunt-Instance-Load", "3,1,8,100" } });
     EXPECT_TRUE(readable.load);
     EXPECT_FALSE(readable.isLoadUnreadable);
-    auto rubbish = readAnswerMarks({ { "Vanillashunt-Instance-Load", "much" } });
-    EXPECT_FALSE(rubbish.load);
-    EXPECT_TRUE(rubbish.isLoadUnreadable);
+    auto unreadable = readAnswerMarks({ { "Vanillashunt-Instance-Load", "much" } });
+    EXPECT_FALSE(unreadable.load);
+    EXPECT_TRUE(unreadable.isLoadUnreadable);
     auto none = readAnswerMarks({});
     EXPECT_FALSE(none.load);
     EXPECT_FALSE(none.isLoadUnreadable);
