--- a/Source/membership/gossip_message.h
+++ b/Source/membership/gossip_message.h
@@ -43,7 +43,7 @@
 
 // How far a node knows what all nodes are to know. Who lacks a version fetches what it
 // brought from whoever told of it.
-struct news_versions {
+struct document_versions {
     // The highest revision of the contracts, or the version of the routes.
     std::int64_t contracts = 0;
     // Of the document on requests that end servers.
@@ -57,7 +57,7 @@
     // Where the sender takes answers, as advertised.
     std::string senderAddress;
     // What the sender has of that which all nodes are to know.
-    news_versions versions;
+    document_versions versions;
 
     // Ping, Ack, PingRequest and PingAccepted.
     std::uint32_t sequence = 0;
--- a/Source/membership/gossip_protocol.h
+++ b/Source/membership/gossip_protocol.h
@@ -26,9 +26,9 @@
     std::function<void(const std::string& address, const gossip_message&)> send;
     random_hook random;
     // What this node has of that which all are to know.
-    std::function<news_versions()> ownVersions;
+    std::function<document_versions()> ownVersions;
     // Told of the versions in each datagram from a member.
-    std::function<void(const member&, const news_versions&)> peerVersions;
+    std::function<void(const member&, const document_versions&)> peerVersions;
     // Told that a newer process goes by the own name or address.
     std::function<void()> superseded;
 };
@@ -77,7 +77,7 @@
     // Members that this node itself, not by the word of others, took for dead.
     std::uint64_t deathsDeclared() const { return m_deathsDeclared; }
     std::uint64_t suspicionsRaised() const { return m_suspicionsRaised; }
-    std::size_t queuedNews() const { return m_news.size(); }
+    std::size_t queuedUpdates() const { return m_news.size(); }
     bool reachable(const member&) const;
 
 private:
--- a/Source/node/membership_dump.cpp
+++ b/Source/node/membership_dump.cpp
@@ -61,7 +61,7 @@
     value["suspicions_raised"] = Json::UInt64(protocol.suspicionsRaised());
     value["alone"] = protocol.alone(now);
     value["digest"] = Json::UInt64(protocol.table().digest());
-    value["queued_news"] = Json::UInt64(protocol.queuedNews());
+    value["queued_news"] = Json::UInt64(protocol.queuedUpdates());
     value["exchanges"]["finished"] = Json::UInt64(protocol.exchange().finished());
     value["exchanges"]["abandoned"] = Json::UInt64(protocol.exchange().abandoned());
     value["sent"] = dumpTraffic(counts.sent);
--- a/Source/node/membership_service.h
+++ b/Source/node/membership_service.h
@@ -21,9 +21,9 @@
     // Called with each change of what this node knows of the members.
     std::function<void(member_list)> membersChanged {};
     // What this node has of that which all are to know; goes with each datagram.
-    std::function<news_versions()> ownVersions {};
+    std::function<document_versions()> ownVersions {};
     // Called with the versions in each datagram from a known member.
-    std::function<void(const member&, const news_versions&)> peerVersions {};
+    std::function<void(const member&, const document_versions&)> peerVersions {};
 };
 
 // Keeps what this node knows of the other nodes, and lets them know of this one:
--- a/Source/node/node_process.cpp
+++ b/Source/node/node_process.cpp
@@ -190,8 +190,8 @@
             m_configuration->setMembers(members);
             m_host->send(m_calls, members_changed { members });
         };
-        hooks.ownVersions = [this] { return news_versions { m_configuration->revision() }; };
-        hooks.peerVersions = [this](const member& peer, const news_versions& versions) { m_configuration->peerRevision(peer, versions.contracts); };
+        hooks.ownVersions = [this] { return document_versions { m_configuration->revision() }; };
+        hooks.peerVersions = [this](const member& peer, const document_versions& versions) { m_configuration->peerRevision(peer, versions.contracts); };
         return hooks;
     }
 
--- a/Source/node/routed_process.cpp
+++ b/Source/node/routed_process.cpp
@@ -276,8 +276,8 @@
             m_quotas->exchange().setMembers(members, std::chrono::steady_clock::now());
             m_calls.entry().setMembers(members, std::chrono::steady_clock::now());
         };
-        hooks.ownVersions = [this] { return news_versions { m_routes.version(), m_poison.version() }; };
-        hooks.peerVersions = [this](const member& peer, const news_versions& versions) {
+        hooks.ownVersions = [this] { return document_versions { m_routes.version(), m_poison.version() }; };
+        hooks.peerVersions = [this](const member& peer, const document_versions& versions) {
             m_routes.peerVersion(peer, versions.contracts);
             m_poison.peerVersion(peer, versions.poison);
         };
