--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -82,7 +82,7 @@
     if (configuration->version <= version()) {
         return;
     }
-    m_organisations = organisation_book(configuration);
+    m_organisations = organisation_directory(configuration);
     m_table = route_table(std::move(configuration));
     m_rotation.setRoutes(m_table.configuration().routes);
 }
@@ -230,7 +230,7 @@
 routed_entry::request_origin routed_entry::originOf(const entry_request& request, const route& matchedRoute) const
 {
     request_origin result;
-    if (!m_organisations.asksForKeys()) {
+    if (!m_organisations.requiresKeys()) {
         result.parent = m_hooks.findParent(request);
         return result;
     }
@@ -255,7 +255,7 @@
         call_observation observation { call_decision::Finished, context, now };
         observation.outcome = finalOutcome;
         observation.detail = message;
-        observation.whole = true;
+        observation.isEntryRequest = true;
         observation.status = status;
         observation.inputs.version = version();
         m_hooks.observed(observation);
@@ -277,9 +277,9 @@
     }
     auto excluded = call.triedTargets;
     excluded.insert(excluded.end(), call.fullTargets.begin(), call.fullTargets.end());
-    bool freeSlotLikely = m_freeSlotEstimates.isLikely(call.request.service, now);
+    bool freeSlotLikely = m_freeSlotEstimates.isFreeSlotLikely(call.request.service, now);
     auto chosen = m_router.choose({ call.request.service, std::move(excluded), freeSlotLikely }, now);
-    bool probesForFreeSlot = chosen && call.fullTargets.size() < maxFreeSlotProbes && !m_router.knowsLoad(chosen->id, now) && freeSlotLikely;
+    bool probesForFreeSlot = chosen && call.fullTargets.size() < maxFreeSlotProbes && !m_router.reliesOnRecentLoad(chosen->id, now) && freeSlotLikely;
     if (!chosen && !call.fullTargets.empty()) {
         chosen = m_router.choose({ call.request.service, call.triedTargets, freeSlotLikely }, now);
     }
@@ -294,7 +294,7 @@
 std::optional<member> routed_entry::chooseAgreedTarget(entry_call& call)
 {
     call.request.refuseIfFull = false;
-    auto agreed = m_router.agreed(call.request.service, call.request.context.content.value);
+    auto agreed = m_router.chooseByKey(call.request.service, call.request.context.content.value);
     bool alreadyTried = agreed && std::count(call.triedTargets.begin(), call.triedTargets.end(), agreed->id) != 0;
     return alreadyTried ? std::nullopt : agreed;
 }
@@ -352,8 +352,8 @@
     call.attemptId = 0;
     auto latency = std::chrono::duration_cast<std::chrono::microseconds>(now - call.attemptStarted);
     route_outcome routeOutcome { answer.outcome, latency, answer.cut, answer.inFlight, answer.limit, answer.zoneCrossings };
-    if (answer.usualTime.count() > 0) {
-        routeOutcome.pace = m_paces.learn(call.request.context.requestClass, answer.usualTime);
+    if (answer.meanServiceTime.count() > 0) {
+        routeOutcome.pace = m_paces.learn(call.request.context.requestClass, answer.meanServiceTime);
     }
     m_router.finished(call.targetId, routeOutcome, now);
     // A node that responds reports its limit even if its backend server's answer was lost.
@@ -361,7 +361,7 @@
     m_hooks.attemptEnded(call.targetId, !noResponse);
     if (answer.limit != 0) {
         bool isFull = answer.inFlight >= answer.limit || answer.outcome.reason == verdict_reason::NoFreeSlot;
-        m_freeSlotEstimates.answered(call.request.service, isFull, now);
+        m_freeSlotEstimates.recordAnswer(call.request.service, isFull, now);
     }
     if (answer.outcome.reason == verdict_reason::NoFreeSlot) {
         call.fullTargets.push_back(call.targetId);
@@ -553,7 +553,7 @@
     call_observation observation { decision, call.request.context, now };
     observation.outcome = outcome;
     observation.detail = detail;
-    observation.whole = call.parentRun == 0;
+    observation.isEntryRequest = call.parentRun == 0;
     observation.status = status;
     observation.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived);
     observation.inputs = { version(), call.entranceCut.cut, call.entranceCut.age };
--- a/Source/node/routed_entry.h
+++ b/Source/node/routed_entry.h
@@ -12,11 +12,11 @@
 #include "node/routed_target.h"
 #include "quota/quota_account.h"
 #include "routes/destination_rotation.h"
-#include "routes/organisation_book.h"
+#include "routes/organisation_directory.h"
 #include "routes/route_table.h"
+#include "routing/free_slot_estimator.h"
 #include "routing/relative_pace.h"
 #include "routing/router.h"
-#include "routing/service_room.h"
 
 #include <chrono>
 #include <cstdint>
@@ -78,7 +78,7 @@
 };
 
 struct entry_settings {
-    node_place location;
+    node_location location;
     // Service of the local backend server, named to the targets as the caller.
     std::string ownService;
     retry_allowance_settings retries;
@@ -118,7 +118,7 @@
     void tick(time_point now);
 
     std::size_t inProgress() const { return m_calls.size(); }
-    std::vector<target_standing> targets(time_point now) const { return m_router.standings(now); }
+    std::vector<target_status> targets(time_point now) const { return m_router.targetStatuses(now); }
     std::int64_t version() const { return m_table.configuration().version; }
     // Whether the configuration has a service of that name.
     bool knowsService(const std::string& name) const;
@@ -190,13 +190,13 @@
     entry_settings m_settings;
     entry_hooks m_hooks;
     route_table m_table;
-    organisation_book m_organisations;
+    organisation_directory m_organisations;
     destination_rotation m_rotation;
     router m_router;
     retry_allowance m_retryAllowance;
     entrance_gate m_entranceGate;
     cost_order m_costOrder;
-    service_room m_freeSlotEstimates;
+    free_slot_estimator m_freeSlotEstimates;
     relative_pace m_paces;
     call_intake m_intake = call_intake::All;
     std::unordered_map<std::uint64_t, entry_call> m_calls;
--- a/Source/node/routed_target.cpp
+++ b/Source/node/routed_target.cpp
@@ -35,7 +35,7 @@
     if (replaced) {
         // What was measured for the previous start does not apply to this one.
         m_gate.setSlots(0, now);
-        m_pace.restart();
+        m_pace.reset();
     }
     bool restarted = replaced && isLaterStart(server->start, m_server->start);
     m_server = server;
@@ -67,7 +67,7 @@
     }
     for (auto id : ended) {
         m_hooks.cancelRun(id);
-        serverAnswered(id, answerWithout(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost)), now);
+        serverAnswered(id, makeCallAnswer(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost)), now);
     }
 }
 
@@ -152,7 +152,7 @@
     if (!m_balanceByPace || !m_server || m_server->start != start) {
         return;
     }
-    m_pace.told(load, m_server->slots, m_gate.inFlight(), now);
+    m_pace.updateLoad(load, m_server->slots, m_gate.inFlight(), now);
 }
 
 content_standing routed_target::standingOf(const call_request& request) const
@@ -186,7 +186,7 @@
         observation.inputs.cut = m_gate.cut();
         m_hooks.observed(observation);
     }
-    reply(call, answerWithout(0, 0, refusalVerdict), now);
+    reply(call, makeCallAnswer(0, 0, refusalVerdict), now);
 }
 
 void routed_target::cancel(std::uint64_t arrivalId, time_point now)
@@ -255,7 +255,7 @@
     answer.zoneCrossings = call.zoneCrossings;
     answer.inFlight = m_gate.inFlight() + static_cast<std::uint32_t>(m_gate.waiting());
     answer.limit = m_gate.limit();
-    answer.usualTime = m_pace.usualTime(call.request.context.requestClass, now).value_or(answer.usualTime);
+    answer.meanServiceTime = m_pace.meanServiceTime(call.request.context.requestClass, now).value_or(answer.meanServiceTime);
     call.replier(answer);
 }
 
@@ -351,7 +351,7 @@
     if (call.started < m_warmupEnd) {
         return;
     }
-    m_pace.ran(call.request.context.requestClass, std::chrono::duration_cast<std::chrono::microseconds>(now - call.started));
+    m_pace.recordRun(call.request.context.requestClass, std::chrono::duration_cast<std::chrono::microseconds>(now - call.started));
 }
 
 void routed_target::recordServed(const call_request& request)
--- a/Tests/RoutedTarget/routed_target_test.cpp
+++ b/Tests/RoutedTarget/routed_target_test.cpp
@@ -433,13 +433,13 @@
         harness.arrive();
         harness.now += milliseconds(80);
         harness.serverAnswers(verdict::answered());
-        EXPECT_EQ(harness.answers.back().usualTime.count(), 0);
+        EXPECT_EQ(harness.answers.back().meanServiceTime.count(), 0);
     }
     harness.target().serverReportedLoad(harness.server.start, { 0, 0, announcedSlots, 1 }, harness.now);
     harness.arrive();
     harness.now += milliseconds(80);
     harness.serverAnswers(verdict::answered());
-    EXPECT_EQ(harness.answers.back().usualTime, milliseconds(80));
+    EXPECT_EQ(harness.answers.back().meanServiceTime, milliseconds(80));
 }
 
 // A server that has just started works at half its speed for some seconds and announces this.
@@ -453,7 +453,7 @@
         harness.arrive();
         harness.now += milliseconds(90);
         harness.serverAnswers(verdict::answered());
-        EXPECT_EQ(harness.answers.back().usualTime.count(), 0);
+        EXPECT_EQ(harness.answers.back().meanServiceTime.count(), 0);
     }
     harness.now += milliseconds(200);
     for (int i = 0; i < 5; ++i) {
@@ -461,7 +461,7 @@
         harness.now += milliseconds(40);
         harness.serverAnswers(verdict::answered());
     }
-    EXPECT_EQ(harness.answers.back().usualTime, milliseconds(40));
+    EXPECT_EQ(harness.answers.back().meanServiceTime, milliseconds(40));
 }
 
 // After a restart under the same id, reports of the previous start, also late ones, do not count.
