--- a/Source/admission/admission_gate.cpp
+++ b/Source/admission/admission_gate.cpp
@@ -13,7 +13,7 @@
     // each hop.
     constexpr std::size_t hopQueueFactor = 2;
     // Work that waits this long during a whole window is a sign of overload, if
-    // it is more than chance leaves behind.
+    // it is more than random arrivals leave behind.
     constexpr std::chrono::duration<double> standingTime { 0.005 };
 
     constexpr double leastStanding = 2;
@@ -442,10 +442,10 @@
     auto drain = std::max(1.0, m_drainRate);
     auto time = std::chrono::milliseconds(std::llround(std::min(1e6, 1000 * backlog / drain)));
     time = std::clamp(time, leastRetryAfter, mostRetryAfter);
-    if (!m_settings.chance) {
+    if (!m_settings.randomBelow) {
         return time;
     }
-    auto spread = m_settings.chance(static_cast<std::uint64_t>(time.count()) + 1);
+    auto spread = m_settings.randomBelow(static_cast<std::uint64_t>(time.count()) + 1);
     return time / 2 + std::chrono::milliseconds(spread);
 }
 
--- a/Source/admission/admission_gate.h
+++ b/Source/admission/admission_gate.h
@@ -82,7 +82,7 @@
     admission_policy policy = admission_policy::Full;
     admission_rules rules;
     // Returns a random number below its argument; without it nothing is spread out.
-    std::function<std::uint64_t(std::uint64_t bound)> chance;
+    std::function<std::uint64_t(std::uint64_t bound)> randomBelow;
 };
 
 // Calls since the start, for the dump and the metrics.
--- a/Source/admission/cost_order.cpp
+++ b/Source/admission/cost_order.cpp
@@ -55,7 +55,7 @@
     entry.slotTime += answerWeight * (slotTime - entry.slotTime);
 }
 
-shedding_position cost_order::place(const std::string& requestClass, shedding_position byHash) const
+shedding_position cost_order::adjustedPosition(const std::string& requestClass, shedding_position byHash) const
 {
     auto found = m_classes.find(requestClass);
     if (found == m_classes.end()) {
--- a/Source/admission/cost_order.h
+++ b/Source/admission/cost_order.h
@@ -28,7 +28,7 @@
     void served(const std::string& requestClass, const narrowest_cost&);
 
     // The place of a request of the class whose hash alone would give it the other one.
-    shedding_position place(const std::string& requestClass, shedding_position byHash) const;
+    shedding_position adjustedPosition(const std::string& requestClass, shedding_position byHash) const;
 
 private:
     struct class_entry {
--- a/Source/admission/entrance_gate.cpp
+++ b/Source/admission/entrance_gate.cpp
@@ -24,7 +24,7 @@
 {
 }
 
-entrance_judgement entrance_gate::judge(const entrance_request& request, std::chrono::steady_clock::time_point now)
+entrance_judgement entrance_gate::evaluate(const entrance_request& request, std::chrono::steady_clock::time_point now)
 {
     auto kind = kindOf(request);
     auto known = m_cuts.get(kind, now);
@@ -45,26 +45,26 @@
     }
     ++m_counters.refusedBelowCut;
     auto time = std::max(known.retryAfter, leastRetryAfter);
-    auto spread = m_settings.chance(static_cast<std::uint64_t>(time.count()) + 1);
+    auto spread = m_settings.randomBelow(static_cast<std::uint64_t>(time.count()) + 1);
     return verdict::notRun(verdict_reason::Overload, time / 2 + std::chrono::milliseconds(spread));
 }
 
 // Only the importance that opens next is probed: a lesser one would be refused below.
 bool entrance_gate::isProbe(shedding_position position, shedding_position cut)
 {
-    if (position / positionsPerImportance != (cut - 1) / positionsPerImportance || m_settings.chance(probeInterval) != 0) {
+    if (position / positionsPerImportance != (cut - 1) / positionsPerImportance || m_settings.randomBelow(probeInterval) != 0) {
         return false;
     }
     ++m_counters.probes;
     return true;
 }
 
-void entrance_gate::learnCut(const entrance_request& request, const remembered_cut& news, std::chrono::steady_clock::time_point now)
+void entrance_gate::recordCut(const entrance_request& request, const remembered_cut& news, std::chrono::steady_clock::time_point now)
 {
     m_cuts.learn(kindOf(request), news, now);
 }
 
-void entrance_gate::learnTime(const entrance_request& request, std::chrono::microseconds time, std::chrono::steady_clock::time_point now)
+void entrance_gate::recordDuration(const entrance_request& request, std::chrono::microseconds time, std::chrono::steady_clock::time_point now)
 {
     m_times.add(m_times.indexOf(kindOf(request)), time, now);
 }
--- a/Source/admission/entrance_gate.h
+++ b/Source/admission/entrance_gate.h
@@ -25,7 +25,7 @@
 struct entrance_settings {
     admission_policy policy = admission_policy::Full;
     // Returns a random number below its argument.
-    std::function<std::uint64_t(std::uint64_t bound)> chance;
+    std::function<std::uint64_t(std::uint64_t bound)> randomBelow;
 };
 
 // Calls since the start, for the dump and the metrics.
@@ -50,16 +50,16 @@
 public:
     explicit entrance_gate(entrance_settings);
 
-    entrance_judgement judge(const entrance_request&, std::chrono::steady_clock::time_point now);
+    entrance_judgement evaluate(const entrance_request&, std::chrono::steady_clock::time_point now);
 
     // The refusal alone.
-    std::optional<verdict> refusal(const entrance_request& request, std::chrono::steady_clock::time_point now) { return judge(request, now).refusal; }
+    std::optional<verdict> refusal(const entrance_request& request, std::chrono::steady_clock::time_point now) { return evaluate(request, now).refusal; }
 
     // The cut and the advice that came back with an answer from below.
-    void learnCut(const entrance_request&, const remembered_cut&, std::chrono::steady_clock::time_point now);
+    void recordCut(const entrance_request&, const remembered_cut&, std::chrono::steady_clock::time_point now);
 
     // The time that a whole request took that was answered.
-    void learnTime(const entrance_request&, std::chrono::microseconds, std::chrono::steady_clock::time_point now);
+    void recordDuration(const entrance_request&, std::chrono::microseconds, std::chrono::steady_clock::time_point now);
 
     const entrance_counters& counters() const { return m_counters; }
     std::size_t rememberedCuts() const { return m_cuts.size(); }
--- a/Source/node/call_actor.cpp
+++ b/Source/node/call_actor.cpp
@@ -52,7 +52,7 @@
 {
     admission_settings settings;
     settings.policy = m_parts.policy;
-    settings.chance = [random = m_parts.random](std::uint64_t bound) { return random() % bound; };
+    settings.randomBelow = [random = m_parts.random](std::uint64_t bound) { return random() % bound; };
     return settings;
 }
 
--- a/Source/node/outbound_calls.cpp
+++ b/Source/node/outbound_calls.cpp
@@ -153,9 +153,9 @@
         return;
     }
     auto request = entranceRequest(call.request.context);
-    m_entrance.learnCut(request, { answer.cut, answer.outcome.retryAfter }, now);
+    m_entrance.recordCut(request, { answer.cut, answer.outcome.retryAfter }, now);
     if (answer.outcome.run == execution::Ran && answer.outcome.reason == verdict_reason::Answered) {
-        m_entrance.learnTime(request, std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived), now);
+        m_entrance.recordDuration(request, std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived), now);
     }
 }
 
--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -170,12 +170,12 @@
         context.depth = parent.depth + 1;
     } else {
         m_costs.arrived(context.requestClass, context.level, now);
-        context.position = rankedPosition(m_costs.place(context.requestClass, context.position), m_organisations.rankOf(origin.asker));
+        context.position = rankedPosition(m_costs.adjustedPosition(context.requestClass, context.position), m_organisations.rankOf(origin.asker));
         context.level = static_cast<importance>(context.position / positionsPerImportance);
     }
     std::optional<verdict> refusal;
     if (!maker) {
-        auto judged = m_entrance.judge({ "", context.requestClass, context.position, context.deadline }, now);
+        auto judged = m_entrance.evaluate({ "", context.requestClass, context.position, context.deadline }, now);
         call.entranceCut = judged.cut;
         refusal = judged.refusal;
     }
@@ -405,7 +405,7 @@
         // What failed on the way has not met all of its costs.
         m_costs.served(context.requestClass, answer.cost);
     }
-    m_entrance.learnCut({ "", context.requestClass, context.position, context.deadline }, { answer.cut, answer.outcome.retryAfter }, now);
+    m_entrance.recordCut({ "", context.requestClass, context.position, context.deadline }, { answer.cut, answer.outcome.retryAfter }, now);
 }
 
 // Only requests that come as far as a server count for the allowance: a repeat makes
--- a/Source/node/routed_target.cpp
+++ b/Source/node/routed_target.cpp
@@ -16,7 +16,7 @@
     admission_settings gateSettings(const std::function<std::uint64_t()>& random)
     {
         admission_settings settings;
-        settings.chance = [random](std::uint64_t bound) { return random() % bound; };
+        settings.randomBelow = [random](std::uint64_t bound) { return random() % bound; };
         return settings;
     }
 
--- a/Tests/AdmissionHolds/gate_run.cpp
+++ b/Tests/AdmissionHolds/gate_run.cpp
@@ -12,7 +12,7 @@
     admission_settings withChance(const admission_settings& given, std::mt19937& random)
     {
         auto settings = given;
-        settings.chance = [&random](std::uint64_t bound) { return random() % bound; };
+        settings.randomBelow = [&random](std::uint64_t bound) { return random() % bound; };
         return settings;
     }
 
--- a/Tests/CheapRequestsFirst/cheap_requests_first_test.cpp
+++ b/Tests/CheapRequestsFirst/cheap_requests_first_test.cpp
@@ -58,7 +58,7 @@
             m_order.arrived(kind.name, importance::Deferrable, m_now);
             auto position = static_cast<shedding_position>(m_random() % positionsPerImportance);
             if (m_ordered) {
-                position = m_order.place(kind.name, position);
+                position = m_order.adjustedPosition(kind.name, position);
             }
             kind.asked += counts ? 1 : 0;
             if (position < m_cut) {
@@ -125,8 +125,8 @@
         order.served("b", { "notices", milliseconds(130) });
     }
     for (shedding_position hash = 0; hash < positionsPerImportance; hash += 64) {
-        EXPECT_NEAR(order.place("a", hash), hash, 1);
-        EXPECT_NEAR(order.place("b", hash), hash, 1);
+        EXPECT_NEAR(order.adjustedPosition("a", hash), hash, 1);
+        EXPECT_NEAR(order.adjustedPosition("b", hash), hash, 1);
     }
 }
 
@@ -144,10 +144,10 @@
         order.served("elsewhere", { "stays", milliseconds(900) });
     }
     constexpr auto confirmed = static_cast<shedding_position>(importance::Confirmed) * positionsPerImportance;
-    EXPECT_NEAR(order.place("reply", confirmed + 100), confirmed + 100, 1);
-    EXPECT_NEAR(order.place("read", 100), 100, 1);
-    EXPECT_NEAR(order.place("elsewhere", 100), 100, 1);
-    EXPECT_EQ(order.place("stranger", 100), 100U);
+    EXPECT_NEAR(order.adjustedPosition("reply", confirmed + 100), confirmed + 100, 1);
+    EXPECT_NEAR(order.adjustedPosition("read", 100), 100, 1);
+    EXPECT_NEAR(order.adjustedPosition("elsewhere", 100), 100, 1);
+    EXPECT_EQ(order.adjustedPosition("stranger", 100), 100U);
 }
 
 }
--- a/Tests/EntranceRefuses/entrance_refuses_test.cpp
+++ b/Tests/EntranceRefuses/entrance_refuses_test.cpp
@@ -24,7 +24,7 @@
 
     void learn(entrance_gate& gate, shedding_position cut)
     {
-        gate.learnCut(asked(0), { cut, milliseconds(400) }, start);
+        gate.recordCut(asked(0), { cut, milliseconds(400) }, start);
     }
 
 }
@@ -66,8 +66,8 @@
 {
     auto gate = gateWithChance(1000000);
     auto request = asked(0);
-    gate.learnTime(request, milliseconds(80), start);
-    gate.learnTime(request, milliseconds(60), start);
+    gate.recordDuration(request, milliseconds(80), start);
+    gate.recordDuration(request, milliseconds(60), start);
     request.deadline = start + milliseconds(59);
     auto refusal = gate.refusal(request, start);
     ASSERT_TRUE(refusal);
@@ -82,7 +82,7 @@
 TEST(EntranceRefuses, NothingByTheOtherPolicies)
 {
     entrance_gate gate({ admission_policy::Hop, [](std::uint64_t) { return 1; } });
-    gate.learnCut(asked(0), { sheddingPositionCount, milliseconds(400) }, start);
+    gate.recordCut(asked(0), { sheddingPositionCount, milliseconds(400) }, start);
     EXPECT_FALSE(gate.refusal(asked(0), start));
 }
 
--- a/Tests/SheddingWeighed/chain_model.cpp
+++ b/Tests/SheddingWeighed/chain_model.cpp
@@ -93,7 +93,7 @@
     for (std::size_t service = 0; service < serviceCount; ++service) {
         admission_settings settings;
         settings.policy = gatePolicy(way);
-        settings.chance = [this](std::uint64_t bound) { return m_random() % bound; };
+        settings.randomBelow = [this](std::uint64_t bound) { return m_random() % bound; };
         m_servers[service] = std::make_unique<server>(settings);
         m_servers[service]->gate.setSlots(plans[service].slots, m_events.now());
     }
@@ -141,7 +141,7 @@
     }
     callService(0, whole, [this, whole](const reply& result) {
         entrance_request request { "hotel", classes[static_cast<std::size_t>(whole->level())], whole->position, whole->deadline };
-        m_entrances[whole->entrance].learnCut(request, { result.cut, result.retryAfter }, m_events.now());
+        m_entrances[whole->entrance].recordCut(request, { result.cut, result.retryAfter }, m_events.now());
         attemptEnded(whole, result);
     });
 }
