--- a/Source/admission/admission_gate.cpp
+++ b/Source/admission/admission_gate.cpp
@@ -9,43 +9,46 @@
 
 namespace {
 
-    // Waiting calls for each call of the limit, in the baseline with plain limits for
-    // each hop.
+    // Maximum number of waiting calls per slot under the policy Hop, the baseline with
+    // fixed limits at each hop.
     constexpr std::size_t hopQueueFactor = 2;
-    // Work that waits this long during a whole window is a sign of overload, if
-    // it is more than random arrivals leave behind.
-    constexpr std::chrono::duration<double> standingTime { 0.005 };
+    // A standing queue indicates overload: during a whole window the queue never held
+    // less than the work of this time, and it is longer than random arrivals explain.
+    constexpr std::chrono::duration<double> standingQueueTime { 0.005 };
 
-    constexpr double leastStanding = 2;
+    // Calls in a queue that random arrivals explain.
+    constexpr double minStandingQueue = 2;
 
     constexpr auto confirmedBase = static_cast<shedding_position>(importance::Confirmed) * positionsPerImportance;
 
     constexpr std::chrono::milliseconds windowLength { 50 };
-    constexpr double durationFade = 0.85;
+    constexpr double durationDecay = 0.85;
     constexpr double serviceQuantile = 0.5;
-    constexpr double drainWeight = 0.4;
-    // Part of a window during which all slots must be in use to measure the drain.
-    constexpr double fullPart = 0.25;
-
-    // The place of a call of a begun request in the queue.
-    constexpr shedding_position amongBegun(shedding_position position)
+    constexpr double drainRateWeight = 0.4;
+    // Fraction of a window during which all slots must be in use for the drain rate to be
+    // measured.
+    constexpr double minFullFraction = 0.25;
+
+    // The queue position of a nested call: all positions are mapped, in their order, to the
+    // range of confirmed requests.
+    constexpr shedding_position positionAmongNested(shedding_position position)
     {
         return position / importanceCount + confirmedBase;
     }
 
-    constexpr bool isWholeAmongBegun(const waiting_call& call)
+    constexpr bool isTopLevelAmongNested(const waiting_call& call)
     {
-        return !call.begun && call.position != call.shedAt;
+        return !call.nested && call.position != call.shedPosition;
     }
 
-    // A service that got a call of a begun request within this time is one that runs of
-    // other services call: such calls come many times in a second or not at all.
-    constexpr std::chrono::milliseconds begunMemory { 1000 };
+    // A service that received a nested call within this time counts as one that other
+    // services call: it receives nested calls many times a second or not at all.
+    constexpr std::chrono::milliseconds nestedCallExpiry { 1000 };
 
-    constexpr std::chrono::milliseconds leastRetryAfter { 100 };
-    constexpr std::chrono::milliseconds mostRetryAfter { 1000 };
-    // Time over which refusals are counted.
-    constexpr std::chrono::duration<double> refusalMemory { 1 };
+    constexpr std::chrono::milliseconds minRetryAfter { 100 };
+    constexpr std::chrono::milliseconds maxRetryAfter { 1000 };
+    // Time constant of the exponential decay of the count of refusals.
+    constexpr std::chrono::duration<double> refusalDecayTime { 1 };
 
 }
 
@@ -53,7 +56,7 @@
     : m_settings(std::move(settings))
 {
     m_limit.setBoundBySlots(m_settings.rules.boundBySlots);
-    m_cut.setOpens(m_settings.rules.cutOpens);
+    m_cut.setMayFall(m_settings.rules.cutMayFall);
 }
 
 void admission_gate::setSlots(std::uint32_t slots, std::chrono::steady_clock::time_point now)
@@ -79,11 +82,11 @@
     waiting_call call;
     call.callId = request.callId;
     call.position = std::min(request.position, sheddingPositionCount - 1);
-    call.shedAt = call.position;
-    call.begun = request.begun;
+    call.shedPosition = call.position;
+    call.nested = request.nested;
     call.organisation = m_shares.indexOf(request.organisation);
     call.deadline = request.deadline;
-    call.requestClass = m_leastTimes.indexOf(request.requestClass);
+    call.requestClass = m_minServiceTimes.indexOf(request.requestClass);
     switch (m_settings.policy) {
     case admission_policy::None:
         return run(call, now);
@@ -97,13 +100,13 @@
 
 admission_decision admission_gate::arriveHop(const waiting_call& call)
 {
-    if (m_running.size() < m_limit.slots() && m_line.empty()) {
+    if (m_running.size() < m_limit.slots() && m_fifo.empty()) {
         return run(call, {});
     }
-    if (m_line.size() >= hopQueueFactor * m_limit.slots()) {
+    if (m_fifo.size() >= hopQueueFactor * m_limit.slots()) {
         return refuse(verdict_reason::Overload);
     }
-    m_line.push_back(call);
+    m_fifo.push_back(call);
     return { admission_outcome::Wait, {} };
 }
 
@@ -113,16 +116,17 @@
         return refuse(verdict_reason::DeadlineTooShort);
     }
     m_cut.arrived(call.organisation, call.position);
-    if (call.begun) {
-        // Refusing it would waste what was done; the cut keeps the next ones out.
-        m_lastBegun = now;
-        return arriveAmongBegun(call, now);
+    if (call.nested) {
+        // Refusing it would waste the work already done. The cut refuses later top-level
+        // requests instead.
+        m_lastNestedArrival = now;
+        return arriveAmongNested(call, now);
     }
     if (call.position < m_cut.get(call.organisation) && mayRefuse(call, now)) {
         return refuseForOverload(call, overloadReason(call), now);
     }
-    if (now - m_lastBegun < begunMemory && mayStart(call, now)) {
-        return arriveAmongBegun(call, now);
+    if (now - m_lastNestedArrival < nestedCallExpiry && mayStart(call, now)) {
+        return arriveAmongNested(call, now);
     }
     const auto* first = m_waiting.next();
     bool goesFirst = !first || first->position / positionsPerImportance < call.position / positionsPerImportance;
@@ -130,54 +134,55 @@
         return run(call, now);
     }
     if (waitsTooLong(call, now) && mayRefuse(call, now)) {
-        noteNoRoom();
+        recordNoCapacity();
         return refuseForOverload(call, verdict_reason::Overload, now);
     }
-    return placeInQueue(call, now);
+    return enqueue(call, now);
 }
 
-// A call of a begun request, or a whole request at a service that gets such calls. They
-// are ordered among themselves as before, and ahead of what is neither begun nor let in
-// by the cut. Behind all of the calls a whole request would be started only when none of
-// them waits, hence hardly ever under overload, though the cut has let it in. Where calls
-// of 22 ms alone fill 0.95 of 30 slots, 0.94 of the whole requests of 72 ms are so
-// answered within 250 ms and 0.31 otherwise, and 0.99 of the calls either way (the test
-// WholeRequestsBesideCalls).
-admission_decision admission_gate::arriveAmongBegun(waiting_call call, std::chrono::steady_clock::time_point now)
+// Starts, queues or refuses a nested call, or a top-level request that the cut admits at a
+// service that receives nested calls. Both kinds are ordered by position among themselves
+// and go ahead of top-level requests that the cut does not admit. If top-level requests
+// ranked behind all nested calls, they would start only when no nested call waits, which
+// hardly ever happens under overload, although the cut admitted them. When nested calls of
+// 22 ms alone fill 0.95 of 30 slots, 0.94 of the top-level requests of 72 ms are answered
+// within 250 ms, as opposed to 0.31 behind all nested calls; 0.99 of the nested calls are
+// answered in both cases (test WholeRequestsBesideCalls).
+admission_decision admission_gate::arriveAmongNested(waiting_call call, std::chrono::steady_clock::time_point now)
 {
-    call.position = amongBegun(call.position);
+    call.position = positionAmongNested(call.position);
     const auto* first = m_waiting.next();
     if (slotFree() && (!first || first->position < confirmedBase)) {
         return run(call, now);
     }
     if (waitsTooLong(call, now) && mayShed(call, now)) {
-        noteNoRoom();
+        recordNoCapacity();
         return refuseForOverload(call, verdict_reason::Overload, now);
     }
     m_waiting.add(call);
-    if (m_waiting.sizeOf(importance::Confirmed) <= begunQueueBound(m_limitNow, m_drainRate)) {
+    if (m_waiting.sizeOf(importance::Confirmed) <= nestedQueueBound(m_limitNow, m_drainRate)) {
         return { admission_outcome::Wait, {} };
     }
-    noteNoRoom();
-    auto worst = *m_waiting.worst(importance::Confirmed, call.organisation);
-    if (!mayShed(worst, now)) {
+    recordNoCapacity();
+    auto candidate = *m_waiting.evictionCandidate(importance::Confirmed, call.organisation);
+    if (!mayShed(candidate, now)) {
         return { admission_outcome::Wait, {} };
     }
-    if (worst.callId == call.callId) {
+    if (candidate.callId == call.callId) {
         m_waiting.remove(call.callId);
         return refuseForOverload(call, verdict_reason::Overload, now);
     }
-    evict(worst, now);
+    evict(candidate, now);
     return { admission_outcome::Wait, {} };
 }
 
-admission_decision admission_gate::placeInQueue(const waiting_call& call, std::chrono::steady_clock::time_point now)
+admission_decision admission_gate::enqueue(const waiting_call& call, std::chrono::steady_clock::time_point now)
 {
     if (m_waiting.size() >= queueBound(m_limitNow, m_drainRate)) {
-        noteNoRoom();
+        recordNoCapacity();
         const auto* victim = victimFor(call);
-        const auto& loser = victim ? *victim : call;
-        if (mayRefuse(loser, now)) {
+        const auto& toRefuse = victim ? *victim : call;
+        if (mayRefuse(toRefuse, now)) {
             if (!victim) {
                 return refuseForOverload(call, overloadReason(call), now);
             }
@@ -188,36 +193,36 @@
     return { admission_outcome::Wait, {} };
 }
 
-// The waiting call that has to go for this one; null if this one has to.
+// The waiting call to evict in favour of this one; null if this one is to be refused.
 const waiting_call* admission_gate::victimFor(const waiting_call& call) const
 {
-    const auto* worst = m_waiting.worst();
-    if (!worst) {
+    const auto* candidate = m_waiting.evictionCandidate();
+    if (!candidate) {
         return nullptr;
     }
     auto level = call.position / positionsPerImportance;
-    auto worstLevel = worst->position / positionsPerImportance;
-    if (level != worstLevel) {
-        return level > worstLevel ? worst : nullptr;
+    auto candidateLevel = candidate->position / positionsPerImportance;
+    if (level != candidateLevel) {
+        return level > candidateLevel ? candidate : nullptr;
     }
-    auto shared = static_cast<importance>(level);
-    if (m_waiting.load(shared, worst->organisation, 0) >= m_waiting.load(shared, call.organisation, 1)) {
-        return worst->organisation != call.organisation || call.position > worst->position ? worst : nullptr;
+    auto commonLevel = static_cast<importance>(level);
+    if (m_waiting.load(commonLevel, candidate->organisation, 0) >= m_waiting.load(commonLevel, call.organisation, 1)) {
+        return candidate->organisation != call.organisation || call.position > candidate->position ? candidate : nullptr;
     }
-    // The organisation of this call is the one furthest over its share.
-    const auto* own = m_waiting.worst(shared, call.organisation);
+    // This call's organisation is the one furthest over its share.
+    const auto* own = m_waiting.evictionCandidate(commonLevel, call.organisation);
     return own && own->position < call.position ? own : nullptr;
 }
 
 admission_decision admission_gate::run(const waiting_call& call, std::chrono::steady_clock::time_point now)
 {
     m_running.emplace(call.callId, running_call { call.organisation, call.requestClass });
-    if (call.organisation >= m_runningOf.size()) {
-        m_runningOf.resize(call.organisation + 1);
+    if (call.organisation >= m_runningByOrganisation.size()) {
+        m_runningByOrganisation.resize(call.organisation + 1);
     }
-    ++m_runningOf[call.organisation];
-    if (!call.begun) {
-        m_order.admitted(call.shedAt, now);
+    ++m_runningByOrganisation[call.organisation];
+    if (!call.nested) {
+        m_order.admitted(call.shedPosition, now);
     }
     ++m_counters.admitted;
     return { admission_outcome::Run, {} };
@@ -226,17 +231,17 @@
 admission_decision admission_gate::refuse(verdict_reason reason)
 {
     ++m_counters.refused[static_cast<std::size_t>(reason)];
-    bool comeBack = reason == verdict_reason::Overload || reason == verdict_reason::OverShare;
-    if (comeBack) {
+    bool adviseRetry = reason == verdict_reason::Overload || reason == verdict_reason::OverShare;
+    if (adviseRetry) {
         m_recentRefusals += 1;
     }
-    return { admission_outcome::Refuse, verdict::notRun(reason, comeBack ? retryAfter() : std::chrono::milliseconds(0)) };
+    return { admission_outcome::Refuse, verdict::notRun(reason, adviseRetry ? retryAfter() : std::chrono::milliseconds(0)) };
 }
 
 admission_decision admission_gate::refuseForOverload(const waiting_call& call, verdict_reason reason, std::chrono::steady_clock::time_point now)
 {
-    m_order.refused(call.shedAt, now);
-    ++m_counters.shed[call.shedAt / positionsPerImportance];
+    m_order.refused(call.shedPosition, now);
+    ++m_counters.shed[call.shedPosition / positionsPerImportance];
     return refuse(reason);
 }
 
@@ -246,41 +251,41 @@
     if (!m_waiting.othersWait(level, call.organisation)) {
         return verdict_reason::Overload;
     }
-    bool waitsForMore = m_waiting.load(level, call.organisation, 0) > m_waiting.meanLoad(level);
+    bool queuedOverShare = m_waiting.load(level, call.organisation, 0) > m_waiting.meanLoad(level);
     bool cutHigher = m_cut.get(call.organisation) > m_cut.get();
-    return waitsForMore || cutHigher ? verdict_reason::OverShare : verdict_reason::Overload;
+    return queuedOverShare || cutHigher ? verdict_reason::OverShare : verdict_reason::Overload;
 }
 
 bool admission_gate::mayRefuse(const waiting_call& call, std::chrono::steady_clock::time_point now) const
 {
-    return !m_settings.rules.confirmedLast || m_order.mayRefuse(call.shedAt, now);
+    return !m_settings.rules.shedConfirmedLast || m_order.mayRefuse(call.shedPosition, now);
 }
 
-// The promise on the order of shedding is one about whole requests.
+// The guarantee on the order of shedding covers top-level requests only.
 bool admission_gate::mayShed(const waiting_call& call, std::chrono::steady_clock::time_point now) const
 {
-    return call.begun || mayRefuse(call, now);
+    return call.nested || mayRefuse(call, now);
 }
 
 bool admission_gate::mayStart(const waiting_call& call, std::chrono::steady_clock::time_point now) const
 {
-    if (m_settings.rules.confirmedLast && !call.begun && !m_order.mayAdmit(call.shedAt, now)) {
+    if (m_settings.rules.shedConfirmedLast && !call.nested && !m_order.mayAdmit(call.shedPosition, now)) {
         return false;
     }
-    if (m_settings.rules.lendUnusedShares || call.organisation >= m_runningOf.size()) {
+    if (m_settings.rules.lendUnusedShares || call.organisation >= m_runningByOrganisation.size()) {
         return true;
     }
     double shares = 0;
     for (organisation_index organisation = 0; organisation < m_shares.size(); ++organisation) {
         shares += m_shares.share(organisation);
     }
-    return m_runningOf[call.organisation] < std::max(1.0, m_limitNow * m_shares.share(call.organisation) / shares);
+    return m_runningByOrganisation[call.organisation] < std::max(1.0, m_limitNow * m_shares.share(call.organisation) / shares);
 }
 
-// An idle backend server is tried all the same: it may have become faster.
+// An idle backend server is always tried, since it may have become faster.
 bool admission_gate::cannotFinish(const waiting_call& call, std::chrono::steady_clock::time_point now) const
 {
-    return !m_running.empty() && m_leastTimes.cannotFinish(call.requestClass, call.deadline, now);
+    return !m_running.empty() && m_minServiceTimes.cannotFinish(call.requestClass, call.deadline, now);
 }
 
 bool admission_gate::waitsTooLong(const waiting_call& call, std::chrono::steady_clock::time_point now) const
@@ -312,35 +317,35 @@
 void admission_gate::finish(std::uint64_t callId, const service_outcome& outcome, std::chrono::steady_clock::time_point now)
 {
     advance(now);
-    auto node = m_running.extract(callId);
-    if (!node) {
+    auto handle = m_running.extract(callId);
+    if (!handle) {
         return;
     }
-    const auto& ended = node.mapped();
-    --m_runningOf[ended.organisation];
+    const auto& ended = handle.mapped();
+    --m_runningByOrganisation[ended.organisation];
     m_limit.finished(outcome.duration, outcome.refused, inFlight() + 1, now);
     if (outcome.refused) {
-        // The backend server itself had no room.
-        m_window.refusedForRoom = true;
+        // The backend server itself lacked capacity.
+        m_window.refusedForCapacity = true;
     } else {
         ++m_window.finished;
-        m_window.finishedFull += inFlight() + 1 >= m_limitNow ? 1 : 0;
+        m_window.finishedWhileFull += inFlight() + 1 >= m_limitNow ? 1 : 0;
         m_durations.add(outcome.duration);
-        m_leastTimes.add(ended.requestClass, outcome.duration, now);
+        m_minServiceTimes.add(ended.requestClass, outcome.duration, now);
     }
 }
 
 void admission_gate::cancel(std::uint64_t callId, std::chrono::steady_clock::time_point now)
 {
     advance(now);
-    if (auto node = m_running.extract(callId)) {
-        --m_runningOf[node.mapped().organisation];
+    if (auto handle = m_running.extract(callId)) {
+        --m_runningByOrganisation[handle.mapped().organisation];
         return;
     }
     m_waiting.remove(callId);
-    auto found = std::find_if(m_line.begin(), m_line.end(), [callId](const auto& call) { return call.callId == callId; });
-    if (found != m_line.end()) {
-        m_line.erase(found);
+    auto found = std::find_if(m_fifo.begin(), m_fifo.end(), [callId](const auto& call) { return call.callId == callId; });
+    if (found != m_fifo.end()) {
+        m_fifo.erase(found);
     }
 }
 
@@ -351,10 +356,10 @@
         refuseWaiting(verdict_reason::NoBackendServer);
     }
     expireWaiting(now);
-    startLine(now);
+    startFifo(now);
     startWaiting(now);
     trimQueue(now);
-    m_window.leastWaiting = slotFree() ? 0 : std::min(m_window.leastWaiting, m_waiting.size());
+    m_window.minWaiting = slotFree() ? 0 : std::min(m_window.minWaiting, m_waiting.size());
     return std::exchange(m_released, {});
 }
 
@@ -365,25 +370,25 @@
         m_waiting.remove(callId);
         m_released.push_back({ callId, refuse(reason) });
     }
-    for (const auto& call : m_line) {
+    for (const auto& call : m_fifo) {
         m_released.push_back({ call.callId, refuse(reason) });
     }
-    m_line.clear();
+    m_fifo.clear();
 }
 
 void admission_gate::expireWaiting(std::chrono::steady_clock::time_point now)
 {
     while (auto expired = m_waiting.takeExpired(now)) {
-        noteNoRoom();
+        recordNoCapacity();
         m_released.push_back({ expired->callId, refuse(verdict_reason::DeadlinePassed) });
     }
 }
 
-void admission_gate::startLine(std::chrono::steady_clock::time_point now)
+void admission_gate::startFifo(std::chrono::steady_clock::time_point now)
 {
-    while (!m_line.empty() && m_running.size() < m_limit.slots()) {
-        auto call = m_line.front();
-        m_line.pop_front();
+    while (!m_fifo.empty() && m_running.size() < m_limit.slots()) {
+        auto call = m_fifo.front();
+        m_fifo.pop_front();
         if (call.deadline <= now) {
             m_released.push_back({ call.callId, refuse(verdict_reason::DeadlinePassed) });
             continue;
@@ -400,10 +405,10 @@
             return;
         }
         if (!mayStart(*next, now)) {
-            if (!isWholeAmongBegun(*next)) {
+            if (!isTopLevelAmongNested(*next)) {
                 return;
             }
-            // It would keep the calls of begun requests behind it from free slots.
+            // It would keep the nested calls behind it from free slots.
             evict(*next, now);
             continue;
         }
@@ -416,15 +421,16 @@
     }
 }
 
-// Takes back the room that confirmed calls were given above the bound.
+// Evicts calls that were queued beyond the bound because confirmed calls could not be
+// refused at that time.
 void admission_gate::trimQueue(std::chrono::steady_clock::time_point now)
 {
     while (m_waiting.size() > queueBound(m_limitNow, m_drainRate)) {
-        const auto* worst = m_waiting.worst();
-        if (!mayRefuse(*worst, now)) {
+        const auto* candidate = m_waiting.evictionCandidate();
+        if (!mayRefuse(*candidate, now)) {
             return;
         }
-        evict(*worst, now);
+        evict(*candidate, now);
     }
 }
 
@@ -434,14 +440,14 @@
     return known ? m_cut.get(*known) : m_cut.get();
 }
 
-// When what was refused lately will have been worked off, spread over that time
-// so that the callers do not come back together.
+// The time in which the backend server can work through the queue and the recent refusals,
+// multiplied by a random factor from 0.5 to 1.5, so that callers do not retry together.
 std::chrono::milliseconds admission_gate::retryAfter() const
 {
     auto backlog = m_recentRefusals + static_cast<double>(waiting());
     auto drain = std::max(1.0, m_drainRate);
     auto time = std::chrono::milliseconds(std::llround(std::min(1e6, 1000 * backlog / drain)));
-    time = std::clamp(time, leastRetryAfter, mostRetryAfter);
+    time = std::clamp(time, minRetryAfter, maxRetryAfter);
     if (!m_settings.randomBelow) {
         return time;
     }
@@ -449,16 +455,16 @@
     return time / 2 + std::chrono::milliseconds(spread);
 }
 
-// A refusal for want of room tells of overload only if no slot is free.
-void admission_gate::noteNoRoom()
+// A refusal for lack of capacity indicates overload only if no slot is free.
+void admission_gate::recordNoCapacity()
 {
-    m_window.refusedForRoom = m_window.refusedForRoom || !slotFree();
+    m_window.refusedForCapacity = m_window.refusedForCapacity || !slotFree();
 }
 
 void admission_gate::advance(std::chrono::steady_clock::time_point now)
 {
     if (!slotFree() && m_lastAdvance >= m_window.start) {
-        m_window.full += now - m_lastAdvance;
+        m_window.fullTime += now - m_lastAdvance;
     }
     m_lastAdvance = now;
     m_limitNow = m_settings.policy == admission_policy::Full ? m_limit.get(now) : m_limit.slots();
@@ -467,37 +473,37 @@
     }
 }
 
-// What the backend server carries shows only while all its slots are in use;
-// until then it follows from the time that one call needs.
-void admission_gate::measureDrain(const window& seen, std::chrono::duration<double> length)
+// The drain rate can be measured only while all slots are in use. Until it has been
+// measured, it is estimated from the service time of one call.
+void admission_gate::updateDrainRate(const window& closed, std::chrono::duration<double> length)
 {
-    if (seen.full < fullPart * length || m_drainRate <= 0) {
+    if (closed.fullTime < minFullFraction * length || m_drainRate <= 0) {
         auto expected = m_serviceTime.count() > 0 ? m_limitNow / std::chrono::duration<double>(m_serviceTime).count() : 0;
-        m_drainRate = std::max({ m_drainRate, seen.finished / length.count(), expected });
+        m_drainRate = std::max({ m_drainRate, closed.finished / length.count(), expected });
         return;
     }
-    m_drainRate += drainWeight * (seen.finishedFull / seen.full.count() - m_drainRate);
+    m_drainRate += drainRateWeight * (closed.finishedWhileFull / closed.fullTime.count() - m_drainRate);
 }
 
 void admission_gate::closeWindow(std::chrono::steady_clock::time_point now)
 {
-    auto seen = m_window;
+    auto closed = m_window;
     m_window = {};
     m_window.start = now;
-    m_window.leastWaiting = slotFree() ? 0 : m_waiting.size();
-    if (seen.start == std::chrono::steady_clock::time_point {}) {
+    m_window.minWaiting = slotFree() ? 0 : m_waiting.size();
+    if (closed.start == std::chrono::steady_clock::time_point {}) {
         return;
     }
-    std::chrono::duration<double> length = now - seen.start;
-    measureDrain(seen, length);
-    m_durations.fade(durationFade);
+    std::chrono::duration<double> length = now - closed.start;
+    updateDrainRate(closed, length);
+    m_durations.decay(durationDecay);
     m_serviceTime = m_durations.quantile(serviceQuantile);
-    m_recentRefusals *= std::exp(-length / refusalMemory);
+    m_recentRefusals *= std::exp(-length / refusalDecayTime);
     if (m_settings.policy != admission_policy::Full) {
         return;
     }
-    bool standing = static_cast<double>(seen.leastWaiting) > std::max(leastStanding, m_drainRate * standingTime.count());
-    m_cut.closeWindow({ length, m_drainRate, seen.refusedForRoom || standing });
+    bool standingQueue = static_cast<double>(closed.minWaiting) > std::max(minStandingQueue, m_drainRate * standingQueueTime.count());
+    m_cut.closeWindow({ length, m_drainRate, closed.refusedForCapacity || standingQueue });
 }
 
 }
--- a/Source/admission/admission_policy.cpp
+++ b/Source/admission/admission_policy.cpp
@@ -2,15 +2,15 @@
 
 namespace vanillashunt {
 
-std::optional<admission_policy> parseAdmissionPolicy(const std::string& word)
+std::optional<admission_policy> parseAdmissionPolicy(const std::string& name)
 {
-    if (word == "none") {
+    if (name == "none") {
         return admission_policy::None;
     }
-    if (word == "hop") {
+    if (name == "hop") {
         return admission_policy::Hop;
     }
-    if (word == "full") {
+    if (name == "full") {
         return admission_policy::Full;
     }
     return std::nullopt;
--- a/Source/admission/admission_policy.h
+++ b/Source/admission/admission_policy.h
@@ -5,14 +5,14 @@
 
 namespace vanillashunt {
 
-// How much of the overload control a gate does.
+// Which overload control a gate applies.
 enum class admission_policy {
-    None, // Lets everything through: a baseline to measure against.
-    Hop, // A fixed limit and a bounded first-in-first-out queue: the other baseline.
-    Full, // Adaptive limit, order by importance, organisations' shares and a moving cut.
+    None, // Admits everything: a baseline for comparison.
+    Hop, // A fixed limit and a bounded first-in-first-out queue at each hop: the other baseline.
+    Full, // An adaptive limit, order by importance, shares of organisations and an adaptive cut.
 };
 
-// Returns nothing for a word that names no policy.
-std::optional<admission_policy> parseAdmissionPolicy(const std::string& word);
+// Returns nothing if the text names no policy.
+std::optional<admission_policy> parseAdmissionPolicy(const std::string& name);
 
 }
--- a/Source/admission/cost_order.cpp
+++ b/Source/admission/cost_order.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-    // Of a class that costs more than the cheapest of its rivals, this part is shed first.
-    // What is left of it is answered 0.55 times as often as the cheapest, at any overload:
-    // enough that its users are not given up, and nearly half of its slots go to the others.
-    constexpr double firstShedPart = 0.45;
+    // Fraction of a class that is shed first if it costs more than the cheapest competing
+    // class. At any overload, the class is then answered 0.55 times as often as the cheapest:
+    // often enough to remain usable, while nearly half of its slots go to the others.
+    constexpr double firstShedFraction = 0.45;
 
-    // A class that costs less than so many times the cheapest is as cheap: the measure of
-    // a few answers is no better.
-    constexpr double alikeFactor = 1.5;
+    // A class that costs less than this multiple of the cheapest counts as equally cheap,
+    // because a cost measured from a few answers is no more precise.
+    constexpr double similarCostFactor = 1.5;
 
-    // Weight of one answer in the cost of its class.
+    // Weight of one answer in the smoothed cost of its class.
     constexpr double answerWeight = 0.1;
 
-    // The classes' parts are worked out anew so often, and what came before counts for
-    // so much less each time: some seconds of arrivals decide.
-    constexpr std::chrono::milliseconds dividePeriod { 250 };
-    constexpr double arrivalsFade = 0.9;
-    // A class with fewer arrivals is forgotten.
-    constexpr double leastArrivals = 0.01;
+    // The ranges of the classes are recomputed with this period, and earlier arrivals are
+    // multiplied by the decay factor each time, so that the last few seconds decide.
+    constexpr std::chrono::milliseconds recomputePeriod { 250 };
+    constexpr double arrivalsDecay = 0.9;
+    // A class with fewer decayed arrivals is removed.
+    constexpr double minArrivals = 0.01;
 
 }
 
@@ -34,8 +34,8 @@
     auto& entry = m_classes[requestClass];
     entry.level = level;
     entry.arrivals += 1;
-    if (now - m_divided >= dividePeriod) {
-        divideAgain(now);
+    if (now - m_lastRecompute >= recomputePeriod) {
+        recomputeRanges(now);
     }
 }
 
@@ -55,66 +55,67 @@
     entry.slotTime += answerWeight * (slotTime - entry.slotTime);
 }
 
-shedding_position cost_order::adjustedPosition(const std::string& requestClass, shedding_position byHash) const
+shedding_position cost_order::adjustedPosition(const std::string& requestClass, shedding_position hashPosition) const
 {
     auto found = m_classes.find(requestClass);
     if (found == m_classes.end()) {
-        return byHash;
+        return hashPosition;
     }
     const auto& entry = found->second;
-    auto base = byHash - byHash % positionsPerImportance;
-    auto hash = static_cast<double>(byHash % positionsPerImportance) / positionsPerImportance;
-    auto place = hash < entry.firstShed
+    auto base = hashPosition - hashPosition % positionsPerImportance;
+    auto hash = static_cast<double>(hashPosition % positionsPerImportance) / positionsPerImportance;
+    auto fraction = hash < entry.firstShed
         ? entry.firstShedBegin + hash / entry.firstShed * entry.firstShedWidth
         : entry.sharedBegin + (hash - entry.firstShed) / (1 - entry.firstShed) * (1 - entry.sharedBegin);
-    return base + static_cast<shedding_position>(place * positionsPerImportance);
+    return base + static_cast<shedding_position>(fraction * positionsPerImportance);
 }
 
-void cost_order::divideAgain(time_point now)
+void cost_order::recomputeRanges(time_point now)
 {
-    m_divided = now;
-    std::map<std::pair<importance, std::string>, std::vector<class_entry*>> rivals;
-    for (auto each = m_classes.begin(); each != m_classes.end();) {
-        auto& entry = each->second;
-        entry.arrivals *= arrivalsFade;
+    m_lastRecompute = now;
+    std::map<std::pair<importance, std::string>, std::vector<class_entry*>> competitors;
+    for (auto iterator = m_classes.begin(); iterator != m_classes.end();) {
+        auto& entry = iterator->second;
+        entry.arrivals *= arrivalsDecay;
         entry.firstShed = 0;
         entry.sharedBegin = 0;
-        if (entry.arrivals < leastArrivals) {
-            each = m_classes.erase(each);
+        if (entry.arrivals < minArrivals) {
+            iterator = m_classes.erase(iterator);
             continue;
         }
         if (entry.slotTime > 0) {
-            rivals[{ entry.level, entry.service }].push_back(&entry);
+            competitors[{ entry.level, entry.service }].push_back(&entry);
         }
-        ++each;
+        ++iterator;
     }
-    for (auto& [key, classes] : rivals) {
-        divide(classes);
+    for (auto& [key, classes] : competitors) {
+        assignRanges(classes);
     }
 }
 
-// Gives a part of each class but the cheapest ones the lowest places, the dearest the
-// lowest of all, and each as many as it has requests in that part.
-void cost_order::divide(std::vector<class_entry*>& rivals)
+// Assigns the lowest positions to the first-shed fraction of each class except the cheapest
+// ones, beginning with the most expensive class. The width of each range corresponds to
+// the arrivals in that fraction.
+void cost_order::assignRanges(std::vector<class_entry*>& competitors)
 {
-    std::sort(rivals.begin(), rivals.end(), [](const class_entry* a, const class_entry* b) { return a->slotTime > b->slotTime; });
-    double all = 0;
-    for (const auto* each : rivals) {
-        all += each->arrivals;
+    std::sort(competitors.begin(), competitors.end(), [](const class_entry* a, const class_entry* b) { return a->slotTime > b->slotTime; });
+    double totalArrivals = 0;
+    for (const auto* competitor : competitors) {
+        totalArrivals += competitor->arrivals;
     }
-    auto cheapest = rivals.back()->slotTime;
+    auto cheapest = competitors.back()->slotTime;
     double begin = 0;
-    for (auto* each : rivals) {
-        if (each->slotTime < cheapest * alikeFactor) {
+    for (auto* competitor : competitors) {
+        if (competitor->slotTime < cheapest * similarCostFactor) {
             break;
         }
-        each->firstShed = firstShedPart;
-        each->firstShedBegin = begin;
-        each->firstShedWidth = firstShedPart * each->arrivals / all;
-        begin += each->firstShedWidth;
+        competitor->firstShed = firstShedFraction;
+        competitor->firstShedBegin = begin;
+        competitor->firstShedWidth = firstShedFraction * competitor->arrivals / totalArrivals;
+        begin += competitor->firstShedWidth;
     }
-    for (auto* each : rivals) {
-        each->sharedBegin = begin;
+    for (auto* competitor : competitors) {
+        competitor->sharedBegin = begin;
     }
 }
 
--- a/Source/admission/cost_order.h
+++ b/Source/admission/cost_order.h
@@ -12,46 +12,46 @@
 
 namespace vanillashunt {
 
-// Where the classes of requests stand in the shedding order beside each other. Among
-// classes of one importance that press on the same narrowest service, those that
-// hold its slots for longest are shed first, because the same slots answer more
-// requests of the others. Only a part of each class goes first, and the rest is shed
-// like the others, so that no kind of request is shut out.
+// Orders request classes within the shedding order by their cost. Among classes of one
+// importance with the same bottleneck (narrowest service), those that hold its slots
+// longest are shed first, because the same slots answer more requests of the others. Only a
+// fraction of each costly class is shed first, and the rest is shed like the other classes,
+// so that no class is refused altogether.
 class cost_order {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // A whole request of the class came.
+    // Counts the arrival of a top-level request of the class.
     void arrived(const std::string& requestClass, importance, time_point now);
 
-    // One was answered, and its chain told what it took.
+    // Records the cost of an answered request, as reported by its call chain.
     void served(const std::string& requestClass, const narrowest_cost&);
 
-    // The place of a request of the class whose hash alone would give it the other one.
-    shedding_position adjustedPosition(const std::string& requestClass, shedding_position byHash) const;
+    // The position of a request of the class, given the one that results from its hash.
+    shedding_position adjustedPosition(const std::string& requestClass, shedding_position hashPosition) const;
 
 private:
     struct class_entry {
         importance level = importance::Deferrable;
         std::string service;
-        // Microseconds; 0 before the first answer that tells.
+        // Smoothed slot time per request in microseconds; 0 while unknown.
         double slotTime = 0;
-        // Arrivals, the latest counting most.
+        // Arrivals, with exponential decay.
         double arrivals = 0;
-        // Part of the class that is shed before the rest of all, and the places of that
-        // part; places go from 0 to 1.
+        // The fraction of the class that is shed before the rest of all classes, and the range
+        // of its positions, which go from 0 to 1 within the importance.
         double firstShed = 0;
         double firstShedBegin = 0;
         double firstShedWidth = 0;
-        // Where the places begin that the rest has together with its rivals.
+        // Where the range begins that the rest of all competing classes shares.
         double sharedBegin = 0;
     };
 
-    void divideAgain(time_point now);
-    static void divide(std::vector<class_entry*>& rivals);
+    void recomputeRanges(time_point now);
+    static void assignRanges(std::vector<class_entry*>& competitors);
 
     std::unordered_map<std::string, class_entry> m_classes;
-    time_point m_divided;
+    time_point m_lastRecompute;
 };
 
 }
--- a/Source/admission/cut_memory.cpp
+++ b/Source/admission/cut_memory.cpp
@@ -6,52 +6,52 @@
 
 namespace {
 
-    // News counts in full for this long, and for half as much after each half-life.
-    constexpr std::chrono::milliseconds fresh { 200 };
+    // A recorded cut counts in full for this long, and is then halved in each half-life.
+    constexpr std::chrono::milliseconds fullWeightTime { 200 };
     constexpr std::chrono::duration<double> halfLife { 0.1 };
-    constexpr std::chrono::milliseconds forgotten { 2000 };
+    constexpr std::chrono::milliseconds expiry { 2000 };
 
-    // A faded cut below this is taken for none.
-    constexpr double leastCut = 32;
+    // A decayed cut below this counts as 0.
+    constexpr double minCut = 32;
 
-    constexpr std::size_t kindBound = 4096;
+    constexpr std::size_t maxEntries = 4096;
 
 }
 
-void cut_memory::learn(const std::string& kind, const remembered_cut& news, std::chrono::steady_clock::time_point now)
+void cut_memory::record(const std::string& key, const remembered_cut& update, std::chrono::steady_clock::time_point now)
 {
-    if (m_entries.size() >= kindBound && m_entries.count(kind) == 0) {
-        forgetFaded(now);
-        if (m_entries.size() >= kindBound) {
+    if (m_entries.size() >= maxEntries && m_entries.count(key) == 0) {
+        removeExpired(now);
+        if (m_entries.size() >= maxEntries) {
             return;
         }
     }
-    auto& entry = m_entries[kind];
-    entry.cut = news.cut;
-    entry.retryAfter = news.retryAfter.count() > 0 ? news.retryAfter : entry.retryAfter;
-    entry.learned = now;
+    auto& entry = m_entries[key];
+    entry.cut = update.cut;
+    entry.retryAfter = update.retryAfter.count() > 0 ? update.retryAfter : entry.retryAfter;
+    entry.recorded = now;
 }
 
-remembered_cut cut_memory::get(const std::string& kind, std::chrono::steady_clock::time_point now) const
+remembered_cut cut_memory::get(const std::string& key, std::chrono::steady_clock::time_point now) const
 {
-    auto found = m_entries.find(kind);
+    auto found = m_entries.find(key);
     if (found == m_entries.end()) {
         return {};
     }
     const auto& entry = found->second;
-    auto stale = std::chrono::duration<double>(now - entry.learned - fresh);
-    auto cut = stale.count() > 0 ? entry.cut * std::exp2(-stale / halfLife) : entry.cut;
-    if (cut < leastCut) {
+    auto decaying = std::chrono::duration<double>(now - entry.recorded - fullWeightTime);
+    auto cut = decaying.count() > 0 ? entry.cut * std::exp2(-decaying / halfLife) : entry.cut;
+    if (cut < minCut) {
         return {};
     }
-    auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.learned);
+    auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.recorded);
     return { static_cast<shedding_position>(std::lround(cut)), entry.retryAfter, age };
 }
 
-void cut_memory::forgetFaded(std::chrono::steady_clock::time_point now)
+void cut_memory::removeExpired(std::chrono::steady_clock::time_point now)
 {
     for (auto entry = m_entries.begin(); entry != m_entries.end();) {
-        bool keep = now < entry->second.learned + forgotten;
+        bool keep = now < entry->second.recorded + expiry;
         entry = keep ? std::next(entry) : m_entries.erase(entry);
     }
 }
--- a/Source/admission/cut_memory.h
+++ b/Source/admission/cut_memory.h
@@ -9,24 +9,24 @@
 
 namespace vanillashunt {
 
-// The cut that a kind of request met lately, on the call chain that it goes down.
+// The cut that requests with the same key met recently on their call chain.
 struct remembered_cut {
     shedding_position cut = 0;
-    // When the refusing node wanted its callers back.
+    // The retry delay that the refusing node advised.
     std::chrono::milliseconds retryAfter { 0 };
-    // Since the news of it came.
+    // Time since the cut was recorded.
     std::chrono::milliseconds age { 0 };
 };
 
-// What an entrance remembers of the cuts that came back with answers. The last
-// answer counts: where the servers of a service differ, requests are refused in
-// the proportion in which the servers would. Without news a cut fades.
+// Stores the cuts that answers carried back to an entrance. Only the last answer counts:
+// if the servers of a service differ, requests are refused in the same proportion as the
+// servers would refuse them. A cut decays unless it is recorded again.
 class cut_memory {
 public:
-    void learn(const std::string& kind, const remembered_cut&, std::chrono::steady_clock::time_point now);
+    void record(const std::string& key, const remembered_cut&, std::chrono::steady_clock::time_point now);
 
-    // Nothing is remembered: cut 0.
-    remembered_cut get(const std::string& kind, std::chrono::steady_clock::time_point now) const;
+    // Returns cut 0 if nothing is recorded for the key.
+    remembered_cut get(const std::string& key, std::chrono::steady_clock::time_point now) const;
 
     std::size_t size() const { return m_entries.size(); }
 
@@ -34,10 +34,10 @@
     struct entry {
         double cut = 0;
         std::chrono::milliseconds retryAfter { 0 };
-        std::chrono::steady_clock::time_point learned;
+        std::chrono::steady_clock::time_point recorded;
     };
 
-    void forgetFaded(std::chrono::steady_clock::time_point now);
+    void removeExpired(std::chrono::steady_clock::time_point now);
 
     std::unordered_map<std::string, entry> m_entries;
 };
--- a/Source/admission/duration_histogram.cpp
+++ b/Source/admission/duration_histogram.cpp
@@ -9,8 +9,8 @@
 
     constexpr double bucketsPerDoubling = 4;
 
-    // Below this weight a quantile would rest on a single call.
-    constexpr double leastWeight = 2;
+    // With a lower total weight, a quantile would depend on a single call.
+    constexpr double minWeight = 2;
 
 }
 
@@ -21,7 +21,7 @@
     m_weights[std::min(index, bucketCount - 1)] += 1;
 }
 
-void duration_histogram::fade(double factor)
+void duration_histogram::decay(double factor)
 {
     for (auto& weight : m_weights) {
         weight *= static_cast<float>(factor);
@@ -34,7 +34,7 @@
     for (auto weight : m_weights) {
         total += weight;
     }
-    if (total < leastWeight) {
+    if (total < minWeight) {
         return {};
     }
     double below = 0;
--- a/Source/admission/service_times.h
+++ b/Source/admission/min_service_times.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "admission/least_time.h"
+#include "admission/recent_minimum.h"
 
 #include <chrono>
 #include <cstdint>
@@ -11,23 +11,25 @@
 
 namespace vanillashunt {
 
-// Names a request class inside one process; small, so that it indexes arrays.
+// Identifies a request class within one instance of min_service_times; serves as an array
+// index.
 using class_index = std::uint32_t;
 
-// The least time that each request class was seen to need.
-class service_times {
+// The shortest recent service time of each request class.
+class min_service_times {
 public:
-    // The class's index; new ones get one, up to a bound, and those beyond it share the last.
+    // The index of the class. A new class gets a new index, up to a maximum number; further
+    // classes share the last index.
     class_index indexOf(const std::string& requestClass);
 
     void add(class_index, std::chrono::microseconds, std::chrono::steady_clock::time_point now);
 
-    // Whether the class has lately never been done in the time that is left.
+    // Whether the time until the deadline is shorter than every recent duration of the class.
     bool cannotFinish(class_index, std::chrono::steady_clock::time_point deadline, std::chrono::steady_clock::time_point now) const;
 
 private:
     std::unordered_map<std::string, class_index> m_indices;
-    std::vector<least_time> m_times;
+    std::vector<recent_minimum> m_times;
 };
 
 }
--- a/Source/admission/organisation_shares.cpp
+++ b/Source/admission/organisation_shares.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-    constexpr std::size_t organisationBound = 4096;
+    constexpr std::size_t maxOrganisations = 4096;
 
-    // For an organisation whose contract has not reached this node yet.
-    constexpr double unknownShare = 0.1;
+    // The share of an organisation whose contract has not reached this node yet.
+    constexpr double defaultShare = 0.1;
 
 }
 
@@ -18,7 +18,7 @@
     m_byOrganisation = shares;
     for (const auto& [organisation, index] : m_indices) {
         auto found = m_byOrganisation.find(organisation);
-        m_shares[index] = found == m_byOrganisation.end() ? unknownShare : found->second;
+        m_shares[index] = found == m_byOrganisation.end() ? defaultShare : found->second;
     }
 }
 
@@ -28,12 +28,12 @@
     if (known != m_indices.end()) {
         return known->second;
     }
-    if (m_shares.size() == organisationBound) {
-        return organisationBound - 1;
+    if (m_shares.size() == maxOrganisations) {
+        return maxOrganisations - 1;
     }
     auto index = static_cast<organisation_index>(m_shares.size());
     auto found = m_byOrganisation.find(organisation);
-    m_shares.push_back(found == m_byOrganisation.end() ? unknownShare : found->second);
+    m_shares.push_back(found == m_byOrganisation.end() ? defaultShare : found->second);
     m_indices.emplace(organisation, index);
     return index;
 }
@@ -49,25 +49,26 @@
 
 std::vector<double> organisation_shares::divide(double amount, const std::vector<double>& demands) const
 {
-    std::vector<organisation_index> open;
+    std::vector<organisation_index> demanding;
     for (organisation_index index = 0; index < demands.size(); ++index) {
         if (demands[index] > 0) {
-            open.push_back(index);
+            demanding.push_back(index);
         }
     }
-    // Those who need least of their share are served first and leave the rest to the others.
-    std::sort(open.begin(), open.end(), [&](auto a, auto b) { return demands[a] / m_shares[a] < demands[b] / m_shares[b]; });
+    // Organisations with the lowest demand relative to their share come first and leave the
+    // rest to the others.
+    std::sort(demanding.begin(), demanding.end(), [&](auto a, auto b) { return demands[a] / m_shares[a] < demands[b] / m_shares[b]; });
     double shares = 0;
-    for (auto index : open) {
+    for (auto index : demanding) {
         shares += m_shares[index];
     }
-    std::vector<double> parts(demands.size(), 0);
-    for (auto index : open) {
-        parts[index] = std::min(demands[index], amount * m_shares[index] / shares);
-        amount -= parts[index];
+    std::vector<double> allocation(demands.size(), 0);
+    for (auto index : demanding) {
+        allocation[index] = std::min(demands[index], amount * m_shares[index] / shares);
+        amount -= allocation[index];
         shares -= m_shares[index];
     }
-    return parts;
+    return allocation;
 }
 
 }
--- a/Source/admission/organisation_shares.h
+++ b/Source/admission/organisation_shares.h
@@ -10,28 +10,29 @@
 
 namespace vanillashunt {
 
-// Names an organisation inside one gate; small, so that it indexes arrays.
+// Identifies an organisation within one gate; serves as an array index.
 using organisation_index = std::uint32_t;
 
-// The parts of the own backend server that the contracts give to the organisations.
+// The shares of the local backend server that the contracts grant to the organisations.
 class organisation_shares {
 public:
-    // Shares by organisation; replaces all earlier ones.
+    // Sets the shares by organisation; replaces all earlier ones.
     void setShares(const std::map<std::string, double>&);
 
-    // The organisation's index; new organisations get one, up to a bound, and those
-    // beyond it share the last.
+    // The index of the organisation. A new organisation gets a new index, up to a maximum
+    // number; further organisations share the last index.
     organisation_index indexOf(const std::string& organisation);
 
-    // Nothing for an organisation that never asked.
+    // Nothing for an organisation without an index.
     std::optional<organisation_index> find(const std::string& organisation) const;
 
     double share(organisation_index index) const { return m_shares[index]; }
     std::size_t size() const { return m_shares.size(); }
 
-    // Divides an amount among demands in proportion to the shares. What one does
-    // not need goes to the others, so nothing is left over while somebody wants
-    // more. Both vectors are by organisation_index.
+    // Divides an amount among demands in proportion to the shares (weighted max-min
+    // fairness): what an organisation does not need goes to the others, so that nothing
+    // is left over while a demand is unmet. Both vectors are indexed by
+    // organisation_index.
     std::vector<double> divide(double amount, const std::vector<double>& demands) const;
 
 private:
--- a/Source/admission/queue_bounds.h
+++ b/Source/admission/queue_bounds.h
@@ -5,14 +5,14 @@
 
 namespace vanillashunt {
 
-// How many calls may wait for a server. The limit is of calls that it runs at once,
-// the drain rate of calls that it ends in a second; 0 while it is not known.
+// How many calls may wait for a server. The limit is the number of calls that it runs at
+// once; the drain rate is the number of calls that it completes per second, 0 if unknown.
 
-// Calls of requests that begin here.
+// The bound for top-level requests.
 std::size_t queueBound(std::uint32_t limit, double drainRate);
 
-// Calls of requests on which work has been done. They may wait for longer, and not
-// for so long that they fill the servers that wait for them.
-std::size_t begunQueueBound(std::uint32_t limit, double drainRate);
+// The bound for nested calls. They may wait longer than top-level requests, but not so long
+// that they occupy all slots of the servers that wait for their answers.
+std::size_t nestedQueueBound(std::uint32_t limit, double drainRate);
 
 }
--- a/Source/admission/least_time.cpp
+++ b/Source/admission/recent_minimum.cpp
@@ -1,4 +1,4 @@
-#include "admission/least_time.h"
+#include "admission/recent_minimum.h"
 
 #include <algorithm>
 
@@ -6,12 +6,12 @@
 
 namespace {
 
-    // A duration counts for one to two of these.
+    // A duration counts for one to two windows.
     constexpr std::chrono::milliseconds window { 500 };
 
 }
 
-void least_time::add(std::chrono::microseconds duration, std::chrono::steady_clock::time_point now)
+void recent_minimum::add(std::chrono::microseconds duration, std::chrono::steady_clock::time_point now)
 {
     if (now >= m_windowEnd) {
         m_previous = now < m_windowEnd + window ? m_current : std::nullopt;
@@ -21,7 +21,7 @@
     m_current = m_current ? std::min(*m_current, duration) : duration;
 }
 
-std::optional<std::chrono::microseconds> least_time::get(std::chrono::steady_clock::time_point now) const
+std::optional<std::chrono::microseconds> recent_minimum::get(std::chrono::steady_clock::time_point now) const
 {
     if (now >= m_windowEnd + window) {
         return std::nullopt;
--- a/Source/admission/least_time.h
+++ b/Source/admission/recent_minimum.h
@@ -5,13 +5,13 @@
 
 namespace vanillashunt {
 
-// The shortest duration seen lately: what cannot be undercut. It is forgotten
-// when nothing new comes, so that a server that was slow is tried again.
-class least_time {
+// The shortest duration of the last one to two windows. It expires when no durations are
+// added, so that a server that was slow is tried again.
+class recent_minimum {
 public:
     void add(std::chrono::microseconds, std::chrono::steady_clock::time_point now);
 
-    // Nothing while there is no recent duration.
+    // Nothing if no recent duration is known.
     std::optional<std::chrono::microseconds> get(std::chrono::steady_clock::time_point now) const;
 
 private:
--- a/Source/admission/shedding_order.cpp
+++ b/Source/admission/shedding_order.cpp
@@ -17,25 +17,25 @@
 void shedding_order::admitted(shedding_position position, std::chrono::steady_clock::time_point now)
 {
     if (!isConfirmed(position)) {
-        m_confirmedSafeUntil = now + guardTime;
+        m_confirmedProtectedUntil = now + guardTime;
     }
 }
 
 void shedding_order::refused(shedding_position position, std::chrono::steady_clock::time_point now)
 {
     if (isConfirmed(position)) {
-        m_lesserBarredUntil = now + guardTime;
+        m_unconfirmedBlockedUntil = now + guardTime;
     }
 }
 
 bool shedding_order::mayRefuse(shedding_position position, std::chrono::steady_clock::time_point now) const
 {
-    return !isConfirmed(position) || now > m_confirmedSafeUntil;
+    return !isConfirmed(position) || now > m_confirmedProtectedUntil;
 }
 
 bool shedding_order::mayAdmit(shedding_position position, std::chrono::steady_clock::time_point now) const
 {
-    return isConfirmed(position) || now > m_lesserBarredUntil;
+    return isConfirmed(position) || now > m_unconfirmedBlockedUntil;
 }
 
 }
--- a/Source/admission/shedding_order.h
+++ b/Source/admission/shedding_order.h
@@ -6,9 +6,9 @@
 
 namespace vanillashunt {
 
-// Keeps the promise that confirmed requests are shed only after all lesser ones:
-// no confirmed request is refused for overload within a guard time, before or
-// after, of a lesser one being admitted at the same gate.
+// Guarantees that confirmed requests are shed only after all less important ones: at one
+// gate, no confirmed request is refused for overload within the guard time before or after
+// the admission of a less important one.
 class shedding_order {
 public:
     void admitted(shedding_position, std::chrono::steady_clock::time_point now);
@@ -21,8 +21,8 @@
     bool mayAdmit(shedding_position, std::chrono::steady_clock::time_point now) const;
 
 private:
-    std::chrono::steady_clock::time_point m_lesserBarredUntil;
-    std::chrono::steady_clock::time_point m_confirmedSafeUntil;
+    std::chrono::steady_clock::time_point m_unconfirmedBlockedUntil;
+    std::chrono::steady_clock::time_point m_confirmedProtectedUntil;
 };
 
 }
--- a/Source/admission/usable_slots.h
+++ b/Source/admission/usable_slots.h
@@ -4,9 +4,9 @@
 
 namespace vanillashunt {
 
-// How many of a server's announced slots are to be used at once. A server may become
-// slower when it is nearly full (the platform's page of its servers says so of some),
-// and then ends less with its last slots than without them.
+// How many of a server's announced slots are used at once. Some servers become slower when
+// they are nearly full (the platform documents this for some of its servers), and then
+// complete fewer calls with their last slots than without them.
 std::uint32_t usableSlots(std::uint32_t announced);
 
 }
--- a/Source/admission/waiting_calls.cpp
+++ b/Source/admission/waiting_calls.cpp
@@ -5,7 +5,7 @@
 
 namespace vanillashunt {
 
-bool waiting_calls::better_placed::operator()(const waiting_call& a, const waiting_call& b) const
+bool waiting_calls::starts_before::operator()(const waiting_call& a, const waiting_call& b) const
 {
     return std::tie(b.position, a.deadline, a.order) < std::tie(a.position, b.deadline, b.order);
 }
@@ -15,7 +15,7 @@
     return std::tie(rank, organisation) < std::tie(other.rank, other.organisation);
 }
 
-bool waiting_calls::by_deadline::operator<(const by_deadline& other) const
+bool waiting_calls::deadline_entry::operator<(const deadline_entry& other) const
 {
     return std::tie(deadline, callId) < std::tie(other.deadline, other.callId);
 }
@@ -38,7 +38,7 @@
     }
     queue.share = m_shares.share(organisation);
     queue.load = static_cast<double>(queue.calls.size()) / queue.share;
-    level.byTurn.insert({ queue.turn, organisation });
+    level.byStartTag.insert({ queue.startTag, organisation });
     level.byLoad.insert({ queue.load, organisation });
     level.waitingShares += queue.share;
 }
@@ -49,7 +49,7 @@
     if (queue.calls.empty()) {
         return;
     }
-    level.byTurn.erase({ queue.turn, organisation });
+    level.byStartTag.erase({ queue.startTag, organisation });
     level.byLoad.erase({ queue.load, organisation });
     level.waitingShares -= queue.share;
 }
@@ -61,8 +61,8 @@
     auto& queue = level.organisations[call.organisation];
     unrank(level, call.organisation);
     if (queue.calls.empty()) {
-        // Time in which an organisation asked for nothing is not saved up.
-        queue.turn = std::max(queue.turn, level.virtualTime);
+        // An organisation gains no credit for the time in which it had no calls waiting.
+        queue.startTag = std::max(queue.startTag, level.virtualTime);
     }
     queue.calls.insert(call);
     rank(level, call.organisation);
@@ -76,19 +76,19 @@
     return remove(callId, 0);
 }
 
-// Charges the organisation for so many turns.
-std::optional<waiting_call> waiting_calls::remove(std::uint64_t callId, double turns)
+// Charges the organisation for this number of calls.
+std::optional<waiting_call> waiting_calls::remove(std::uint64_t callId, double charge)
 {
-    auto node = m_byId.extract(callId);
-    if (!node) {
+    auto handle = m_byId.extract(callId);
+    if (!handle) {
         return std::nullopt;
     }
-    const auto& call = node.mapped();
+    const auto& call = handle.mapped();
     auto& level = levelOf(call.position);
     auto& queue = level.organisations.at(call.organisation);
     unrank(level, call.organisation);
     queue.calls.erase(call);
-    queue.turn += turns / m_shares.share(call.organisation);
+    queue.startTag += charge / m_shares.share(call.organisation);
     rank(level, call.organisation);
     --level.size;
     m_byDeadline.erase({ call.deadline, callId });
@@ -101,7 +101,7 @@
         if (level->size == 0) {
             continue;
         }
-        return &*level->organisations.at(level->byTurn.begin()->organisation).calls.begin();
+        return &*level->organisations.at(level->byStartTag.begin()->organisation).calls.begin();
     }
     return nullptr;
 }
@@ -110,12 +110,12 @@
 {
     auto call = *next();
     auto& level = levelOf(call.position);
-    level.virtualTime = level.organisations.at(call.organisation).turn;
+    level.virtualTime = level.organisations.at(call.organisation).startTag;
     remove(call.callId, 1);
     return call;
 }
 
-const waiting_call* waiting_calls::worst() const
+const waiting_call* waiting_calls::evictionCandidate() const
 {
     for (const auto& level : m_levels) {
         if (level.size == 0) {
@@ -126,7 +126,7 @@
     return nullptr;
 }
 
-const waiting_call* waiting_calls::worst(importance level, organisation_index organisation) const
+const waiting_call* waiting_calls::evictionCandidate(importance level, organisation_index organisation) const
 {
     const auto& organisations = m_levels[static_cast<std::size_t>(level)].organisations;
     auto found = organisations.find(organisation);
@@ -136,11 +136,11 @@
     return &*found->second.calls.rbegin();
 }
 
-double waiting_calls::load(importance level, organisation_index organisation, std::size_t more) const
+double waiting_calls::load(importance level, organisation_index organisation, std::size_t additional) const
 {
     const auto& organisations = m_levels[static_cast<std::size_t>(level)].organisations;
     auto found = organisations.find(organisation);
-    auto count = more + (found == organisations.end() ? 0 : found->second.calls.size());
+    auto count = additional + (found == organisations.end() ? 0 : found->second.calls.size());
     return static_cast<double>(count) / m_shares.share(organisation);
 }
 
@@ -173,9 +173,10 @@
     } else {
         own = static_cast<double>(found->second.calls.order_of_key(call));
     }
-    // While the organisation's own calls take their turns, the others take theirs.
-    auto withOthers = static_cast<std::size_t>(own * shares / share);
-    return higher + std::min(withOthers, level.size);
+    // While the organisation's own calls start, those of the others start in proportion to
+    // their shares.
+    auto aheadAtLevel = static_cast<std::size_t>(own * shares / share);
+    return higher + std::min(aheadAtLevel, level.size);
 }
 
 std::optional<waiting_call> waiting_calls::takeExpired(std::chrono::steady_clock::time_point now)
--- a/Tests/AdmissionCost/admission_cost.cpp
+++ b/Tests/AdmissionCost/admission_cost.cpp
@@ -1,4 +1,5 @@
-// What one admission costs: the decision, its start or refusal, and its end.
+// Measures the time that the gate takes for one call: the decision, its start or refusal,
+// and its end.
 
 #include "admission/admission_gate.h"
 
@@ -15,13 +16,13 @@
 
     constexpr std::uint32_t slots = 120;
     constexpr std::chrono::microseconds service { 10000 };
-    constexpr std::size_t prepared = 1 << 16;
+    constexpr std::size_t preparedCount = 1 << 16;
 
-    // Calls of many organisations, drawn beforehand.
+    // Random calls of several organisations, drawn before the measurement.
     std::vector<admission_request> drawRequests(int organisations)
     {
         std::mt19937 random(1);
-        std::vector<admission_request> requests(prepared);
+        std::vector<admission_request> requests(preparedCount);
         for (auto& request : requests) {
             request.position = random() % sheddingPositionCount;
             request.organisation = "customer-" + std::to_string(random() % organisations);
@@ -30,8 +31,8 @@
         return requests;
     }
 
-    // One arrival after another at a multiple of the capacity; each iteration is
-    // one arrival with all that it causes.
+    // Calls arrive evenly at a multiple of the capacity. Each iteration is one arrival,
+    // with the ends and starts of other calls that are due by then.
     void admission(benchmark::State& state)
     {
         auto load = static_cast<double>(state.range(0)) / 10;
@@ -60,7 +61,7 @@
                 running.pop_front();
                 startReleased();
             }
-            auto& request = requests[callId % prepared];
+            auto& request = requests[callId % preparedCount];
             request.callId = ++callId;
             request.deadline = now + std::chrono::seconds(1);
             auto decision = gate.arrive(request, now);
@@ -74,7 +75,7 @@
 
 }
 
-// Load in tenths of the capacity, and organisations.
+// Arguments: load in tenths of the capacity, number of organisations.
 BENCHMARK(admission)->Args({ 5, 1 })->Args({ 11, 10 })->Args({ 50, 1 })->Args({ 50, 100 })->Args({ 50, 1000 });
 
 }
--- a/Tests/AdmissionHolds/gate_run.cpp
+++ b/Tests/AdmissionHolds/gate_run.cpp
@@ -9,7 +9,7 @@
     constexpr std::chrono::milliseconds tickPeriod { 5 };
     constexpr std::chrono::milliseconds guardTime { 100 };
 
-    admission_settings withChance(const admission_settings& given, std::mt19937& random)
+    admission_settings withRandom(const admission_settings& given, std::mt19937& random)
     {
         auto settings = given;
         settings.randomBelow = [&random](std::uint64_t bound) { return random() % bound; };
@@ -20,7 +20,7 @@
 
 gate_run::gate_run(const admission_settings& settings, std::uint32_t seed)
     : m_random(seed)
-    , m_gate(withChance(settings, m_random))
+    , m_gate(withRandom(settings, m_random))
 {
     m_gate.setShares({ { "big", 0.5 }, { "small", 0.5 } });
     m_gate.setSlots(slots, m_now);
@@ -71,9 +71,9 @@
 
 void gate_run::arrive(const load_phase& phase)
 {
-    auto kind = uniform();
-    auto level = kind < phase.confirmed              ? importance::Confirmed
-        : kind < phase.confirmed + phase.interactive ? importance::Interactive
+    auto draw = uniform();
+    auto level = draw < phase.confirmed              ? importance::Confirmed
+        : draw < phase.confirmed + phase.interactive ? importance::Interactive
                                                      : importance::Deferrable;
     call_record call;
     call.position = static_cast<shedding_position>(level) * positionsPerImportance + static_cast<shedding_position>(m_random() % positionsPerImportance);
@@ -82,18 +82,18 @@
     m_calls.push_back(call);
     auto callId = m_calls.size() - 1;
     auto deadline = m_now + std::chrono::milliseconds(300 + m_random() % 700);
-    decided(callId, m_gate.arrive({ callId, call.position, call.organisation, deadline, toString(level) }, m_now));
+    applyDecision(callId, m_gate.arrive({ callId, call.position, call.organisation, deadline, toString(level) }, m_now));
     release();
 }
 
-void gate_run::decided(std::uint64_t callId, const admission_decision& decision)
+void gate_run::applyDecision(std::uint64_t callId, const admission_decision& decision)
 {
     auto& call = m_calls[callId];
     if (decision.outcome == admission_outcome::Refuse) {
         call.refusals.push_back(decision.refusal.reason);
         call.ended = m_now;
         if (call.position >= 2 * positionsPerImportance) {
-            m_confirmedRefused = m_now;
+            m_lastConfirmedRefusal = m_now;
         }
         return;
     }
@@ -108,10 +108,10 @@
 void gate_run::release()
 {
     for (const auto& released : m_gate.release(m_now)) {
-        decided(released.callId, released.decision);
+        applyDecision(released.callId, released.decision);
     }
-    bool barred = m_gate.waiting(importance::Confirmed) == 0 && m_now <= m_confirmedRefused + guardTime;
-    if (m_gate.waiting() > 0 && m_gate.inFlight() < m_gate.limit() && !barred) {
+    bool blocked = m_gate.waiting(importance::Confirmed) == 0 && m_now <= m_lastConfirmedRefusal + guardTime;
+    if (m_gate.waiting() > 0 && m_gate.inFlight() < m_gate.limit() && !blocked) {
         ++m_idleWhileWaiting;
     }
 }
--- a/Tests/AdmissionHolds/gate_run.h
+++ b/Tests/AdmissionHolds/gate_run.h
@@ -14,31 +14,32 @@
 
 using test_time = std::chrono::steady_clock::time_point;
 
-// A stretch of random arrivals.
+// A period of random arrivals.
 struct load_phase {
     std::chrono::milliseconds length { 0 };
-    // Arrivals in multiples of what the slots can carry.
+    // Arrival rate as a multiple of the capacity of the slots.
     double load = 1;
-    // Parts of the arrivals that are confirmed and interactive.
+    // Fractions of the arrivals that are confirmed and interactive.
     double confirmed = 0.2;
     double interactive = 0.3;
-    // Part of the arrivals that is organisation "big"'s; the others are "small"'s.
+    // Fraction of the arrivals that belongs to organisation "big"; the others belong to
+    // "small".
     double big = 0.5;
 };
 
-// What became of one call.
+// The history of one call.
 struct call_record {
     shedding_position position = 0;
     std::string organisation;
     test_time arrived;
-    // Each outcome that the gate gave: when it ran, or why it did not.
+    // All outcomes that the gate gave: times of starts and reasons of refusals.
     std::vector<test_time> runs;
     std::vector<verdict_reason> refusals;
     test_time ended;
 };
 
-// Drives one gate with random arrivals and a backend server that does what it
-// is given in the time that was drawn for each call, on a clock of its own.
+// Drives one gate with random arrivals and a simulated backend server, which completes
+// each call after a random service time. Uses a simulated clock.
 class gate_run {
 public:
     static constexpr std::uint32_t slots = 8;
@@ -48,7 +49,7 @@
 
     void run(const load_phase&);
 
-    // Lets everything that is in progress come to its end.
+    // Advances the clock by five seconds without arrivals, so that all calls end.
     void settle();
 
     test_time now() const { return m_now; }
@@ -56,7 +57,7 @@
     const std::vector<call_record>& calls() const { return m_calls; }
     // Moments at which more calls ran than there are slots.
     int overSlots() const { return m_overSlots; }
-    // Moments at which a slot was free while a call waited that might have had it.
+    // Moments at which a slot was free while a call waited that could have used it.
     int idleWhileWaiting() const { return m_idleWhileWaiting; }
 
 private:
@@ -68,7 +69,7 @@
 
     void advanceTo(test_time);
     void arrive(const load_phase&);
-    void decided(std::uint64_t callId, const admission_decision&);
+    void applyDecision(std::uint64_t callId, const admission_decision&);
     void release();
     double uniform() { return std::uniform_real_distribution<double>()(m_random); }
 
@@ -78,7 +79,7 @@
     test_time m_nextTick { std::chrono::hours(1) };
     std::priority_queue<running_end> m_running;
     std::vector<call_record> m_calls;
-    test_time m_confirmedRefused;
+    test_time m_lastConfirmedRefusal;
     int m_overSlots = 0;
     int m_idleWhileWaiting = 0;
 };
--- a/Tests/CheapRequestsFirst/cheap_requests_first_test.cpp
+++ b/Tests/CheapRequestsFirst/cheap_requests_first_test.cpp
@@ -14,29 +14,29 @@
 
     struct request_kind {
         const char* name;
-        // Whole requests in a second.
+        // Top-level requests per second.
         int rate;
-        // Of the narrowest service, for each request.
+        // Slot time at the bottleneck service per request.
         milliseconds slotTime;
-        int asked = 0;
+        int offered = 0;
         int admitted = 0;
 
-        double servedPart() const { return static_cast<double>(admitted) / asked; }
+        double servedFraction() const { return static_cast<double>(admitted) / offered; }
     };
 
-    // Whole requests of one importance that press on one service. What a node below does
-    // is reduced to this: it keeps the cut at which the slots are just in use.
-    class narrow_service {
+    // A model of top-level requests of one importance with one bottleneck service. The nodes of
+    // that service are reduced to a cut that follows the use of the slots.
+    class bottleneck_service {
     public:
-        narrow_service(bool ordered, int slots)
+        bottleneck_service(bool ordered, int slots)
             : m_ordered(ordered)
             , m_slots(slots)
         {
         }
 
-        // Plays so many seconds, and leaves the first one out of the counts.
+        // Simulates this many seconds; the first one is not counted.
         template <std::size_t Count>
-        void play(std::array<request_kind, Count>& kinds, int seconds)
+        void simulate(std::array<request_kind, Count>& kinds, int seconds)
         {
             for (int tenth = 0; tenth < 10 * seconds; ++tenth) {
                 m_now += milliseconds(100);
@@ -53,18 +53,18 @@
         }
 
     private:
-        milliseconds arrive(request_kind& kind, bool counts)
+        milliseconds arrive(request_kind& kind, bool counted)
         {
             m_order.arrived(kind.name, importance::Deferrable, m_now);
             auto position = static_cast<shedding_position>(m_random() % positionsPerImportance);
             if (m_ordered) {
                 position = m_order.adjustedPosition(kind.name, position);
             }
-            kind.asked += counts ? 1 : 0;
+            kind.offered += counted ? 1 : 0;
             if (position < m_cut) {
                 return milliseconds(0);
             }
-            kind.admitted += counts ? 1 : 0;
+            kind.admitted += counted ? 1 : 0;
             m_order.served(kind.name, { "notices", kind.slotTime });
             return kind.slotTime;
         }
@@ -77,9 +77,9 @@
         std::mt19937_64 m_random { 7 };
     };
 
-    // The load: the grown hotel mesh once a burst is over. 14 servers of 29 slots are left to
-    // the notices service. A thread read makes four calls to it of 30 ms, a notice read is
-    // one of 490 ms; confirmed replies take 120 slots of the 406 before either.
+    // The load of the large hotel mesh after a burst. The notices service has 14 servers of 29
+    // slots, 406 together; confirmed replies, which go first, use 120 of them. A thread read
+    // makes four calls of 30 ms to the service, a notice read is one call of 490 ms.
     std::array<request_kind, 2> hotelReads()
     {
         return { request_kind { "thread-read", 1800, milliseconds(120) }, request_kind { "notice-read", 400, milliseconds(490) } };
@@ -92,12 +92,12 @@
 TEST(CheapRequestsFirst, MoreAreAnsweredByTheSameSlots)
 {
     auto ordered = hotelReads();
-    narrow_service(true, slotsForReads).play(ordered, 20);
+    bottleneck_service(true, slotsForReads).simulate(ordered, 20);
     auto byHash = hotelReads();
-    narrow_service(false, slotsForReads).play(byHash, 20);
-    RecordProperty("ordered", std::to_string(ordered[0].servedPart()));
-    EXPECT_LT(byHash[0].servedPart(), 0.76);
-    EXPECT_GT(ordered[0].servedPart(), 0.84);
+    bottleneck_service(false, slotsForReads).simulate(byHash, 20);
+    RecordProperty("ordered", std::to_string(ordered[0].servedFraction()));
+    EXPECT_LT(byHash[0].servedFraction(), 0.76);
+    EXPECT_GT(ordered[0].servedFraction(), 0.84);
     EXPECT_GT(ordered[0].admitted + ordered[1].admitted, 1.1 * (byHash[0].admitted + byHash[1].admitted));
 }
 
@@ -107,9 +107,9 @@
         auto kinds = hotelReads();
         kinds[0].rate *= overload;
         kinds[1].rate *= overload;
-        narrow_service(true, slotsForReads).play(kinds, 20);
-        EXPECT_GT(kinds[1].servedPart(), 0.5 * kinds[0].servedPart());
-        EXPECT_LT(kinds[1].servedPart(), 0.62 * kinds[0].servedPart());
+        bottleneck_service(true, slotsForReads).simulate(kinds, 20);
+        EXPECT_GT(kinds[1].servedFraction(), 0.5 * kinds[0].servedFraction());
+        EXPECT_LT(kinds[1].servedFraction(), 0.62 * kinds[0].servedFraction());
     }
 }
 
--- a/Tests/ConcurrencyLimitWeighed/backend_model.cpp
+++ b/Tests/ConcurrencyLimitWeighed/backend_model.cpp
@@ -10,8 +10,8 @@
 
 }
 
-backend_model::backend_model(backend_truth truth, limit_under_test limit, std::uint32_t seed)
-    : m_truth(truth)
+backend_model::backend_model(backend_behaviour behaviour, limit_under_test limit, std::uint32_t seed)
+    : m_behaviour(behaviour)
     , m_limit(std::move(limit))
     , m_random(seed)
 {
@@ -20,27 +20,27 @@
 std::chrono::microseconds backend_model::drawService()
 {
     std::exponential_distribution<double> draw(1);
-    auto mean = static_cast<double>(m_truth.meanService.count());
-    return std::chrono::microseconds(static_cast<std::int64_t>(mean * (1 - m_truth.randomPart + m_truth.randomPart * draw(m_random))));
+    auto mean = static_cast<double>(m_behaviour.meanService.count());
+    return std::chrono::microseconds(static_cast<std::int64_t>(mean * (1 - m_behaviour.randomFraction + m_behaviour.randomFraction * draw(m_random))));
 }
 
 void backend_model::send()
 {
     ++m_inFlight;
-    if (m_working >= m_truth.slots && m_inside.size() >= m_truth.insideQueue) {
+    if (m_working >= m_behaviour.slots && m_internalQueue.size() >= m_behaviour.internalQueueBound) {
         m_ends.push({ m_now + refusalTime, m_now, true });
         return;
     }
-    m_inside.push_back(m_now);
+    m_internalQueue.push_back(m_now);
     startNext();
 }
 
 void backend_model::startNext()
 {
-    while (!m_inside.empty() && m_working < m_truth.slots) {
+    while (!m_internalQueue.empty() && m_working < m_behaviour.slots) {
         ++m_working;
-        m_ends.push({ m_now + drawService(), m_inside.front(), false });
-        m_inside.pop_front();
+        m_ends.push({ m_now + drawService(), m_internalQueue.front(), false });
+        m_internalQueue.pop_front();
     }
 }
 
--- a/Tests/ConcurrencyLimitWeighed/concurrency_limit_test.cpp
+++ b/Tests/ConcurrencyLimitWeighed/concurrency_limit_test.cpp
@@ -17,10 +17,10 @@
     constexpr std::uint32_t seed = 20261202;
     constexpr model_time start { std::chrono::hours(1) };
 
-    // A stretch of time in which one thing is true of the server.
-    struct truth_phase {
+    // A period with constant behaviour of the server.
+    struct behaviour_phase {
         const char* name;
-        backend_truth truth;
+        backend_behaviour behaviour;
         int seconds;
     };
 
@@ -51,35 +51,36 @@
             [limit](auto duration, bool refused, auto inFlight, auto now) { limit->finished(duration, refused, inFlight, now); } };
     }
 
-    std::vector<phase_result> runPhases(const char* name, limit_under_test limit, const std::vector<truth_phase>& phases)
+    std::vector<phase_result> runPhases(const char* name, limit_under_test limit, const std::vector<behaviour_phase>& phases)
     {
-        backend_model model(phases.front().truth, std::move(limit), seed);
+        backend_model model(phases.front().behaviour, std::move(limit), seed);
         std::vector<phase_result> results;
         for (const auto& phase : phases) {
-            model.setTruth(phase.truth);
+            model.setBehaviour(phase.behaviour);
             phase_result result;
             for (int second = 0; second < phase.seconds; ++second) {
-                auto seen = model.runSecond();
-                result.goodput += seen.goodput / phase.seconds;
-                // The last second shows where it settles.
-                result.p99 = seen.p99;
-                result.limit = seen.limit;
-                result.refused += seen.refused;
+                auto measured = model.runSecond();
+                result.goodput += measured.goodput / phase.seconds;
+                // The last second shows the settled state.
+                result.p99 = measured.p99;
+                result.limit = measured.limit;
+                result.refused += measured.refused;
             }
-            std::printf("%-9s %-28s goodput %6.0f/s  p99 %4lld ms  limit %2u  refused inside %u\n", name, phase.name, result.goodput,
+            std::printf("%-9s %-28s goodput %6.0f/s  p99 %4lld ms  limit %2u  refused by server %u\n", name, phase.name, result.goodput,
                 static_cast<long long>(result.p99.count() / 1000), result.limit, result.refused);
             results.push_back(result);
         }
         return results;
     }
 
-    backend_truth truth(std::uint32_t slots, int serviceMillis, std::uint32_t insideQueue = 1000000)
+    backend_behaviour behaviour(std::uint32_t slots, int serviceMillis, std::uint32_t internalQueueBound = 1000000)
     {
-        return { slots, insideQueue, std::chrono::milliseconds(serviceMillis), 0.5 };
+        return { slots, internalQueueBound, std::chrono::milliseconds(serviceMillis), 0.5 };
     }
 
-    // Every way through the same phases; the last one is the product's.
-    std::vector<phase_result> weigh(const std::vector<truth_phase>& phases)
+    // Runs all limits through the same phases; returns the results of concurrency_limit, the
+    // one that nodes use.
+    std::vector<phase_result> compareLimits(const std::vector<behaviour_phase>& phases)
     {
         runPhases("fixed", fixedLimit(), phases);
         runPhases("gradient", gradientLimit(), phases);
@@ -90,7 +91,7 @@
 
 TEST(ConcurrencyLimitWeighed, ASlowServerKeepsItsSlots)
 {
-    auto results = weigh({ { "honest", truth(40, 20), 10 }, { "three times slower", truth(40, 60), 30 }, { "well again", truth(40, 20), 10 } });
+    auto results = compareLimits({ { "as announced", behaviour(40, 20), 10 }, { "three times slower", behaviour(40, 60), 30 }, { "recovered", behaviour(40, 20), 10 } });
     // 40 slots of 20 ms are 2000 calls in a second.
     EXPECT_GT(results[0].goodput, 1900);
     EXPECT_GT(results[1].goodput, 600);
@@ -100,7 +101,7 @@
 
 TEST(ConcurrencyLimitWeighed, SlotsThatAreLostAreNoticed)
 {
-    auto results = weigh({ { "honest", truth(40, 20), 10 }, { "works on 15, queues the rest", truth(15, 20), 30 }, { "well again", truth(40, 20), 10 } });
+    auto results = compareLimits({ { "as announced", behaviour(40, 20), 10 }, { "works on 15, queues the rest", behaviour(15, 20), 30 }, { "recovered", behaviour(40, 20), 10 } });
     // 15 slots of 20 ms are 750 calls in a second; 40 in flight would take 53 ms on average.
     EXPECT_GT(results[1].goodput, 700);
     EXPECT_LT(results[1].limit, 30);
@@ -110,7 +111,7 @@
 
 TEST(ConcurrencyLimitWeighed, RefusalsByTheServerLowerTheLimit)
 {
-    auto results = weigh({ { "works on 20, refuses the rest", truth(20, 20, 0), 20 }, { "well again", truth(40, 20, 0), 10 } });
+    auto results = compareLimits({ { "works on 20, refuses the rest", behaviour(20, 20, 0), 20 }, { "recovered", behaviour(40, 20, 0), 10 } });
     EXPECT_GT(results[0].goodput, 850);
     EXPECT_LT(results[0].limit, 30);
     EXPECT_EQ(results[1].limit, announced);
--- a/Tests/ConcurrencyLimitWeighed/gradient_limit.h
+++ b/Tests/ConcurrencyLimitWeighed/gradient_limit.h
@@ -7,9 +7,9 @@
 
 namespace vanillashunt {
 
-// The way not taken: a limit that follows the ratio of the long-term to the
-// short-term mean duration, with a tolerance and a headroom of a square root
-// (the published gradient limit, second form).
+// An alternative for comparison, the published "gradient2" limit: it follows the ratio of
+// the long-term to the short-term mean duration, with a tolerance, and adds the square
+// root of the limit as headroom.
 class gradient_limit {
 public:
     explicit gradient_limit(std::uint32_t slots)
@@ -26,7 +26,7 @@
         }
         ++m_calls;
         m_total += duration;
-        m_busiest = std::max(m_busiest, inFlight);
+        m_maxInFlight = std::max(m_maxInFlight, inFlight);
         if (now < m_windowEnd) {
             return;
         }
@@ -47,7 +47,7 @@
         if (m_long > 2 * mean) {
             m_long *= 0.95;
         }
-        bool busy = m_busiest >= m_limit / 2;
+        bool busy = m_maxInFlight >= m_limit / 2;
         if (m_refused) {
             m_limit = std::max(1.0, m_limit * 0.8);
         } else if (busy) {
@@ -56,7 +56,7 @@
             m_limit = std::clamp(m_limit * (1 - smoothing) + smoothing * wanted, 1.0, m_slots);
         }
         m_calls = 0;
-        m_busiest = 0;
+        m_maxInFlight = 0;
         m_total = std::chrono::microseconds(0);
         m_refused = false;
     }
@@ -66,7 +66,7 @@
     double m_long = 0;
     bool m_refused = false;
     std::uint32_t m_calls = 0;
-    std::uint32_t m_busiest = 0;
+    std::uint32_t m_maxInFlight = 0;
     std::chrono::microseconds m_total { 0 };
     std::chrono::steady_clock::time_point m_windowEnd;
 };
--- a/Tests/EntranceRefuses/entrance_refuses_test.cpp
+++ b/Tests/EntranceRefuses/entrance_refuses_test.cpp
@@ -11,61 +11,61 @@
     constexpr std::chrono::steady_clock::time_point start { std::chrono::hours(1) };
     constexpr shedding_position confirmedBase = 2 * positionsPerImportance;
 
-    entrance_request asked(shedding_position position, const std::string& organisation = "hotel")
+    entrance_request makeRequest(shedding_position position, const std::string& organisation = "hotel")
     {
         return { organisation, "reply", position, start + std::chrono::seconds(10) };
     }
 
-    // A gate whose every chance falls the same way.
-    entrance_gate gateWithChance(std::uint64_t chance)
+    // A gate whose random numbers are all the given one, or the highest allowed below it.
+    entrance_gate gateWithRandom(std::uint64_t number)
     {
-        return entrance_gate({ admission_policy::Full, [chance](std::uint64_t bound) { return std::min(chance, bound - 1); } });
+        return entrance_gate({ admission_policy::Full, [number](std::uint64_t bound) { return std::min(number, bound - 1); } });
     }
 
-    void learn(entrance_gate& gate, shedding_position cut)
+    void setCut(entrance_gate& gate, shedding_position cut)
     {
-        gate.recordCut(asked(0), { cut, milliseconds(400) }, start);
+        gate.recordCut(makeRequest(0), { cut, milliseconds(400) }, start);
     }
 
 }
 
 TEST(EntranceRefuses, WhatTheDeepestServiceWouldShed)
 {
-    auto gate = gateWithChance(1000000);
-    EXPECT_FALSE(gate.refusal(asked(0), start));
-    learn(gate, confirmedBase);
-    auto refusal = gate.refusal(asked(100), start);
+    auto gate = gateWithRandom(1000000);
+    EXPECT_FALSE(gate.refusal(makeRequest(0), start));
+    setCut(gate, confirmedBase);
+    auto refusal = gate.refusal(makeRequest(100), start);
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->run, execution::NotRun);
     EXPECT_EQ(refusal->reason, verdict_reason::Overload);
-    // Spread from half of the advice up to one and a half of it.
+    // The jitter is from half to one and a half of the retry delay; this is its maximum.
     EXPECT_EQ(refusal->retryAfter, milliseconds(600));
-    EXPECT_FALSE(gate.refusal(asked(confirmedBase), start));
-    EXPECT_FALSE(gate.refusal(asked(100, "another hotel"), start));
+    EXPECT_FALSE(gate.refusal(makeRequest(confirmedBase), start));
+    EXPECT_FALSE(gate.refusal(makeRequest(100, "another hotel"), start));
 }
 
-TEST(EntranceRefuses, NothingOnceTheNewsIsOld)
+TEST(EntranceRefuses, NothingOnceTheCutHasDecayed)
 {
-    auto gate = gateWithChance(1000000);
-    learn(gate, sheddingPositionCount);
-    EXPECT_TRUE(gate.refusal(asked(confirmedBase), start + milliseconds(150)));
-    EXPECT_FALSE(gate.refusal(asked(confirmedBase), start + milliseconds(400)));
-    EXPECT_FALSE(gate.refusal(asked(0), start + milliseconds(1500)));
+    auto gate = gateWithRandom(1000000);
+    setCut(gate, sheddingPositionCount);
+    EXPECT_TRUE(gate.refusal(makeRequest(confirmedBase), start + milliseconds(150)));
+    EXPECT_FALSE(gate.refusal(makeRequest(confirmedBase), start + milliseconds(400)));
+    EXPECT_FALSE(gate.refusal(makeRequest(0), start + milliseconds(1500)));
 }
 
 TEST(EntranceRefuses, LetsAFewThroughThatCouldBeAdmittedNext)
 {
-    auto gate = gateWithChance(0);
-    learn(gate, confirmedBase + 100);
-    EXPECT_FALSE(gate.refusal(asked(confirmedBase), start));
+    auto gate = gateWithRandom(0);
+    setCut(gate, confirmedBase + 100);
+    EXPECT_FALSE(gate.refusal(makeRequest(confirmedBase), start));
     EXPECT_EQ(gate.counters().probes, 1);
-    EXPECT_TRUE(gate.refusal(asked(confirmedBase - 1), start));
+    EXPECT_TRUE(gate.refusal(makeRequest(confirmedBase - 1), start));
 }
 
 TEST(EntranceRefuses, WhatCannotFinishInTime)
 {
-    auto gate = gateWithChance(1000000);
-    auto request = asked(0);
+    auto gate = gateWithRandom(1000000);
+    auto request = makeRequest(0);
     gate.recordDuration(request, milliseconds(80), start);
     gate.recordDuration(request, milliseconds(60), start);
     request.deadline = start + milliseconds(59);
@@ -74,7 +74,7 @@
     EXPECT_EQ(refusal->reason, verdict_reason::DeadlineTooShort);
     request.deadline = start + milliseconds(60);
     EXPECT_FALSE(gate.refusal(request, start));
-    // A time that nobody confirms is forgotten, or nothing would be tried again.
+    // A duration expires if it is not recorded again; otherwise no request would be tried.
     request.deadline = start + milliseconds(1010);
     EXPECT_FALSE(gate.refusal(request, start + milliseconds(1000)));
 }
@@ -82,8 +82,8 @@
 TEST(EntranceRefuses, NothingByTheOtherPolicies)
 {
     entrance_gate gate({ admission_policy::Hop, [](std::uint64_t) { return 1; } });
-    gate.recordCut(asked(0), { sheddingPositionCount, milliseconds(400) }, start);
-    EXPECT_FALSE(gate.refusal(asked(0), start));
+    gate.recordCut(makeRequest(0), { sheddingPositionCount, milliseconds(400) }, start);
+    EXPECT_FALSE(gate.refusal(makeRequest(0), start));
 }
 
 }
--- a/Tests/NearlyFullServers/nearly_full_servers_test.cpp
+++ b/Tests/NearlyFullServers/nearly_full_servers_test.cpp
@@ -13,18 +13,20 @@
     using std::chrono::milliseconds;
     using time_point = std::chrono::steady_clock::time_point;
 
-    // A server whose calls take longer while it is nearly full, behind the gate of its node.
+    // A gate and a simulated server whose calls take longer from a number of running calls on,
+    // the knee of its latency curve.
     class knee_server {
     public:
-        knee_server(std::uint32_t announced, double kneePart, double slowdown, std::uint32_t slotsGiven)
-            : m_knee(announced * kneePart)
+        knee_server(std::uint32_t announced, double kneeFraction, double slowdown, std::uint32_t usedSlots)
+            : m_knee(announced * kneeFraction)
             , m_slowdown(slowdown)
         {
-            m_gate.setSlots(slotsGiven, m_now);
+            m_gate.setSlots(usedSlots, m_now);
         }
 
-        // Calls that end in five seconds of twice the load that the server carries.
-        int play()
+        // The number of calls that end in five seconds of twice the load that the server can
+        // complete.
+        int simulate()
         {
             int ended = 0;
             for (int step = 0; step < 5000; ++step) {
@@ -33,7 +35,7 @@
                 for (; m_arrivalsDue >= 1; m_arrivalsDue -= 1) {
                     arrive();
                 }
-                ended += endDue();
+                ended += finishDueCalls();
             }
             return ended;
         }
@@ -69,7 +71,7 @@
             }
         }
 
-        int endDue()
+        int finishDueCalls()
         {
             int ended = 0;
             while (!m_ends.empty() && m_ends.begin()->first <= m_now) {
@@ -92,25 +94,25 @@
 
 }
 
-// The load: the deepest service of both meshes is overloaded for twenty seconds; its
-// servers have 22 to 29 slots, and need 1.3 times as long from 0.95 of them on.
+// The load: the deepest service of both test meshes is overloaded for twenty seconds. Its
+// servers have 22 to 29 slots, and calls take 1.3 times as long from 0.95 of the slots on.
 TEST(NearlyFullServers, EndMoreWithAFewSlotsFree)
 {
     for (std::uint32_t announced : { 22U, 24U, 28U, 29U }) {
-        auto whole = knee_server(announced, 0.95, 1.3, announced).play();
-        auto usable = knee_server(announced, 0.95, 1.3, usableSlots(announced)).play();
-        EXPECT_GT(usable, 1.12 * whole) << announced << " slots";
+        auto allSlots = knee_server(announced, 0.95, 1.3, announced).simulate();
+        auto usable = knee_server(announced, 0.95, 1.3, usableSlots(announced)).simulate();
+        EXPECT_GT(usable, 1.12 * allSlots) << announced << " slots";
     }
-    // With many slots the limit itself finds out that fewer calls are faster.
-    EXPECT_GT(knee_server(139, 0.95, 1.3, usableSlots(139)).play(), knee_server(139, 0.95, 1.3, 139).play());
+    // With many slots the concurrency limit itself detects that fewer calls are faster.
+    EXPECT_GT(knee_server(139, 0.95, 1.3, usableSlots(139)).simulate(), knee_server(139, 0.95, 1.3, 139).simulate());
 }
 
 TEST(NearlyFullServers, LoseLittleWhereTheyAreAsFastWhenFull)
 {
     for (std::uint32_t announced : { 22U, 24U, 28U, 29U, 139U }) {
-        auto whole = knee_server(announced, 0.95, 1, announced).play();
-        auto usable = knee_server(announced, 0.95, 1, usableSlots(announced)).play();
-        EXPECT_GT(usable, 0.9 * whole) << announced << " slots";
+        auto allSlots = knee_server(announced, 0.95, 1, announced).simulate();
+        auto usable = knee_server(announced, 0.95, 1, usableSlots(announced)).simulate();
+        EXPECT_GT(usable, 0.9 * allSlots) << announced << " slots";
     }
 }
 
--- a/Tests/SheddingWeighed/event_queue.h
+++ b/Tests/SheddingWeighed/event_queue.h
@@ -11,14 +11,14 @@
 
 using model_time = std::chrono::steady_clock::time_point;
 
-// The clock of a model: what is to happen, in order of time.
+// The simulated clock of a model: runs scheduled actions in order of time.
 class event_queue {
 public:
     model_time now() const { return m_now; }
 
-    void at(model_time when, std::function<void()> what) { m_events.push({ when, ++m_count, std::move(what) }); }
+    void at(model_time when, std::function<void()> action) { m_events.push({ when, ++m_count, std::move(action) }); }
 
-    void after(model_time::duration wait, std::function<void()> what) { at(m_now + wait, std::move(what)); }
+    void after(model_time::duration wait, std::function<void()> action) { at(m_now + wait, std::move(action)); }
 
     void runUntil(model_time until)
     {
@@ -26,7 +26,7 @@
             auto next = m_events.top();
             m_events.pop();
             m_now = next.when;
-            next.what();
+            next.action();
         }
         m_now = until;
     }
@@ -35,7 +35,7 @@
     struct event {
         model_time when;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> action;
         bool operator<(const event& other) const { return std::tie(when, order) > std::tie(other.when, other.order); }
     };
 
--- a/Tests/SheddingWeighed/shedding_weighed_test.cpp
+++ b/Tests/SheddingWeighed/shedding_weighed_test.cpp
@@ -11,12 +11,12 @@
 
     constexpr std::uint32_t seeds = 6;
 
-    // The mean over the seeds; of the recovery, the longest.
-    model_result weigh(const char* name, shedding_way way, const model_load& load)
+    // Runs the model with all seeds; returns the mean results, and the longest recovery.
+    model_result runSeeds(const char* name, shedding_strategy strategy, const model_load& load)
     {
         model_result mean;
         for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
-            auto result = chain_model(way, seed).run(load);
+            auto result = chain_model(strategy, seed).run(load);
             for (std::size_t level = 0; level < importanceCount; ++level) {
                 mean.goodput[level] += result.goodput[level] / seeds;
             }
@@ -32,18 +32,18 @@
 
 }
 
-// Seeds 1 to 6 of a deterministic model, so the figures are the same every time.
+// The model is deterministic and runs with seeds 1 to 6, so the results are always the same.
 TEST(SheddingWeighed, TheCutRememberedAtTheEntranceServesConfirmedRequestsFirst)
 {
     for (auto load : { 0.8, 1.5, 4.0, 8.0 }) {
         model_load phases;
         phases.surge = load;
-        auto none = weigh("none", shedding_way::None, phases);
-        auto hop = weigh("hop", shedding_way::Hop, phases);
-        auto credits = weigh("credits", shedding_way::Credits, phases);
-        auto ranked = weigh("ranked", shedding_way::RankedCredits, phases);
-        auto gates = weigh("gate cuts", shedding_way::GateCuts, phases);
-        auto full = weigh("full", shedding_way::Full, phases);
+        auto none = runSeeds("none", shedding_strategy::None, phases);
+        auto hop = runSeeds("hop", shedding_strategy::Hop, phases);
+        auto credits = runSeeds("credits", shedding_strategy::Credits, phases);
+        auto ranked = runSeeds("ranked", shedding_strategy::RankedCredits, phases);
+        auto gates = runSeeds("gate cuts", shedding_strategy::GateCuts, phases);
+        auto full = runSeeds("full", shedding_strategy::Full, phases);
         EXPECT_GT(full.goodput[2], 0.99 * std::max({ none.goodput[2], hop.goodput[2], credits.goodput[2], ranked.goodput[2] }));
         EXPECT_LE(full.recovery, std::chrono::milliseconds(2000));
         if (load < 1) {
--- a/Tests/WholeRequestsBesideCalls/whole_requests_beside_calls_test.cpp
+++ b/Tests/WholeRequestsBesideCalls/whole_requests_beside_calls_test.cpp
@@ -16,7 +16,7 @@
 
     constexpr std::uint32_t slots = 30;
 
-    // What the server gets: calls of 22 ms that runs of other services make, and whole
+    // The load of the server: nested calls of 22 ms from other services, and top-level
     // requests of 72 ms.
     struct mixed_load {
         double callsPerSecond = 0;
@@ -26,14 +26,14 @@
 
     struct mixed_outcome {
         int requests = 0;
-        // Ended within the time in which an answer is of full use.
+        // Requests that ended within inTime, while the answer is of full use.
         int requestsInTime = 0;
         int requestsRefused = 0;
         int calls = 0;
         int callsEnded = 0;
     };
 
-    // One server behind the gate of its node.
+    // A gate and a simulated server.
     class mixed_server {
     public:
         explicit mixed_server(const mixed_load& load)
@@ -42,10 +42,10 @@
             m_gate.setSlots(slots, m_now);
         }
 
-        mixed_outcome play(std::chrono::seconds length)
+        mixed_outcome simulate(std::chrono::seconds length)
         {
             for (auto end = m_now + length; m_now < end; m_now += milliseconds(1)) {
-                endDue();
+                finishDueCalls();
                 m_callsDue += m_load.callsPerSecond / 1000;
                 m_requestsDue += m_load.requestsPerSecond / 1000;
                 for (; m_callsDue >= 1; m_callsDue -= 1) {
@@ -63,21 +63,21 @@
         static constexpr milliseconds inTime { 250 };
 
         struct arrival {
-            time_point came;
-            bool begun = false;
+            time_point arrived;
+            bool nested = false;
         };
 
-        void arrive(bool begun)
+        void arrive(bool nested)
         {
             admission_request call;
             call.callId = ++m_lastId;
-            auto level = begun ? importance::Deferrable : m_load.requestLevel;
+            auto level = nested ? importance::Deferrable : m_load.requestLevel;
             call.position = static_cast<shedding_position>(level) * positionsPerImportance + static_cast<shedding_position>(m_random() % positionsPerImportance);
-            call.deadline = m_now + milliseconds(begun ? 700 : 1000);
-            call.requestClass = begun ? "status" : "register";
-            call.begun = begun;
-            ++(begun ? m_outcome.calls : m_outcome.requests);
-            m_arrivals[call.callId] = { m_now, begun };
+            call.deadline = m_now + milliseconds(nested ? 700 : 1000);
+            call.requestClass = nested ? "status" : "register";
+            call.nested = nested;
+            ++(nested ? m_outcome.calls : m_outcome.requests);
+            m_arrivals[call.callId] = { m_now, nested };
             auto decision = m_gate.arrive(call, m_now);
             if (decision.outcome == admission_outcome::Run) {
                 start(call.callId);
@@ -90,7 +90,7 @@
         void start(std::uint64_t callId)
         {
             std::exponential_distribution<double> spread(1);
-            auto mean = m_arrivals.at(callId).begun ? 22.0 : 72.0;
+            auto mean = m_arrivals.at(callId).nested ? 22.0 : 72.0;
             auto time = std::chrono::microseconds(std::llround(1000 * mean * (0.5 + 0.5 * spread(m_random))));
             m_ends.emplace(m_now + time, callId);
             m_started[callId] = m_now;
@@ -98,7 +98,7 @@
 
         void refused(std::uint64_t callId)
         {
-            m_outcome.requestsRefused += m_arrivals.at(callId).begun ? 0 : 1;
+            m_outcome.requestsRefused += m_arrivals.at(callId).nested ? 0 : 1;
             m_arrivals.erase(callId);
         }
 
@@ -113,7 +113,7 @@
             }
         }
 
-        void endDue()
+        void finishDueCalls()
         {
             while (!m_ends.empty() && m_ends.begin()->first <= m_now) {
                 auto callId = m_ends.begin()->second;
@@ -121,8 +121,8 @@
                 auto ended = m_arrivals.at(callId);
                 auto time = std::chrono::duration_cast<std::chrono::microseconds>(m_now - m_started.at(callId));
                 m_gate.finish(callId, { time, false }, m_now);
-                m_outcome.callsEnded += ended.begun ? 1 : 0;
-                m_outcome.requestsInTime += !ended.begun && m_now - ended.came <= inTime ? 1 : 0;
+                m_outcome.callsEnded += ended.nested ? 1 : 0;
+                m_outcome.requestsInTime += !ended.nested && m_now - ended.arrived <= inTime ? 1 : 0;
                 m_started.erase(callId);
                 m_arrivals.erase(callId);
                 startReleased();
@@ -142,31 +142,33 @@
         mixed_outcome m_outcome;
     };
 
-    double part(int some, int all) { return static_cast<double>(some) / all; }
+    double fraction(int count, int all) { return static_cast<double>(count) / all; }
 
 }
 
-// The load: one of three servers of a laboratory's sample registry, which engineers'
-// lookups call eight times each; new samples are registered there, too. Calls alone fill
-// the slots 0.95 (1,300 a second of 22 ms on 30 slots), and the registrations are as many
-// as one server of three gets on a busy day.
+// The gate must not starve top-level requests that its cut admits because nested calls alone
+// nearly fill the server. The load is that of one of three servers of a sample registry, which
+// each lookup of an engineer calls eight times and where new samples are registered. The
+// nested calls alone fill 0.95 of the slots (1,300 per second of 22 ms on 30 slots), and the
+// registrations are as many as one server of three receives on a busy day.
 TEST(WholeRequestsBesideCalls, AreAnsweredInTimeWhenCallsFillTheServer)
 {
     for (double calls : { 1250.0, 1300.0, 1350.0 }) {
-        auto seen = mixed_server({ calls, 15 }).play(std::chrono::seconds(20));
-        RecordProperty("requests_in_time_at_" + std::to_string(std::lround(calls)), std::to_string(part(seen.requestsInTime, seen.requests)));
-        RecordProperty("calls_ended_at_" + std::to_string(std::lround(calls)), std::to_string(part(seen.callsEnded, seen.calls)));
-        EXPECT_GT(part(seen.requestsInTime, seen.requests), 0.6) << calls << " calls a second";
-        EXPECT_GT(part(seen.callsEnded, seen.calls), 0.9) << calls << " calls a second";
+        auto result = mixed_server({ calls, 15 }).simulate(std::chrono::seconds(20));
+        RecordProperty("requests_in_time_at_" + std::to_string(std::lround(calls)), std::to_string(fraction(result.requestsInTime, result.requests)));
+        RecordProperty("calls_ended_at_" + std::to_string(std::lround(calls)), std::to_string(fraction(result.callsEnded, result.calls)));
+        EXPECT_GT(fraction(result.requestsInTime, result.requests), 0.6) << calls << " calls a second";
+        EXPECT_GT(fraction(result.callsEnded, result.calls), 0.9) << calls << " calls a second";
     }
 }
 
-// Importance comes first: a confirmed request waits for no lesser request's calls.
+// Importance comes first: a confirmed request does not wait for nested calls of less important
+// requests.
 TEST(WholeRequestsBesideCalls, GoBeforeCallsOfLesserRequests)
 {
-    auto seen = mixed_server({ 1400, 15, importance::Confirmed }).play(std::chrono::seconds(20));
-    EXPECT_EQ(seen.requestsRefused, 0);
-    EXPECT_GT(part(seen.requestsInTime, seen.requests), 0.9);
+    auto result = mixed_server({ 1400, 15, importance::Confirmed }).simulate(std::chrono::seconds(20));
+    EXPECT_EQ(result.requestsRefused, 0);
+    EXPECT_GT(fraction(result.requestsInTime, result.requests), 0.9);
 }
 
 }
