--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -170,12 +170,12 @@
         context.depth = parentContext.depth + 1;
     } else {
         m_costOrder.arrived(context.requestClass, context.level, now);
-        context.position = rankedPosition(m_costOrder.place(context.requestClass, context.position), m_organisations.rankOf(origin.sender));
+        context.position = rankedPosition(m_costOrder.adjustedPosition(context.requestClass, context.position), m_organisations.rankOf(origin.sender));
         context.level = static_cast<importance>(context.position / positionsPerImportance);
     }
     std::optional<verdict> refusal;
     if (!parent) {
-        auto judgement = m_entranceGate.judge({ "", context.requestClass, context.position, context.deadline }, now);
+        auto judgement = m_entranceGate.evaluate({ "", context.requestClass, context.position, context.deadline }, now);
         call.entranceCut = judgement.cut;
         refusal = judgement.refusal;
     }
@@ -408,7 +408,7 @@
         // A request that failed has not incurred all of its costs.
         m_costOrder.served(context.requestClass, answer.cost);
     }
-    m_entranceGate.learnCut({ "", context.requestClass, context.position, context.deadline }, { answer.cut, answer.outcome.retryAfter }, now);
+    m_entranceGate.recordCut({ "", context.requestClass, context.position, context.deadline }, { answer.cut, answer.outcome.retryAfter }, now);
 }
 
 // Only requests that reach a backend server add to the retry allowance: a retry repeats onward
