--- a/Source/admission/cost_order.cpp
+++ b/Source/admission/cost_order.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-void cost_order::served(const std::string& requestClass, const narrowest_cost& cost)
+void cost_order::served(const std::string& requestClass, const bottleneck_cost& cost)
 {
     auto found = m_classes.find(requestClass);
     if (cost.service.empty() || found == m_classes.end()) {
--- a/Source/admission/cost_order.h
+++ b/Source/admission/cost_order.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "decision/bottleneck_cost.h"
 #include "decision/importance.h"
-#include "decision/narrowest_cost.h"
 #include "decision/shedding_position.h"
 
 #include <chrono>
@@ -25,7 +25,7 @@
     void arrived(const std::string& requestClass, importance, time_point now);
 
     // One was answered, and its chain told what it took.
-    void served(const std::string& requestClass, const narrowest_cost&);
+    void served(const std::string& requestClass, const bottleneck_cost&);
 
     // The place of a request of the class whose hash alone would give it the other one.
     shedding_position place(const std::string& requestClass, shedding_position byHash) const;
--- a/Source/call/call_answer.h
+++ b/Source/call/call_answer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "call/http_field.h"
-#include "decision/narrowest_cost.h"
+#include "decision/bottleneck_cost.h"
 #include "decision/shedding_position.h"
 #include "decision/ticket.h"
 #include "decision/verdict.h"
@@ -34,7 +34,7 @@
     // for the deepest service.
     shedding_position cut = 0;
     // What the request took of the service whose cut that is.
-    narrowest_cost cost;
+    bottleneck_cost cost;
     // Calls that were made for the request below the answering node, and that went to
     // another availability zone.
     std::uint32_t zoneCrossings = 0;
--- a/Source/decision/call_progress.cpp
+++ b/Source/decision/call_progress.cpp
@@ -61,7 +61,7 @@
     bool neverSent = result.outcome.reason == verdict_reason::PeerUnreachable;
     m_tokens += neverSent ? m_tokensSent : std::min(result.tokens, m_tokensSent);
     m_tokensSent = 0;
-    bool othersHoldIt = m_origin == permit_origin::Brought || result.outcome.run == execution::MayHaveRun;
+    bool othersHoldIt = m_origin == permit_origin::Received || result.outcome.run == execution::MayHaveRun;
     if (result.successor && m_permit && othersHoldIt) {
         handedOver(result);
         return;
@@ -79,7 +79,7 @@
 {
     if (result.outcome.reason == verdict_reason::PeerUnreachable) {
         // The home was not asked, so it cannot speak for earlier uses of the ticket.
-        if (m_origin == permit_origin::Brought) {
+        if (m_origin == permit_origin::Received) {
             m_attemptMayHaveRun = true;
         } else if (!m_attemptMayHaveRun) {
             m_permit.reset();
@@ -106,7 +106,7 @@
     m_earlierMayHaveRun = false;
     m_attemptMayHaveRun = result.outcome.run == execution::MayHaveRun;
     m_permit = result.successor;
-    m_origin = permit_origin::Brought;
+    m_origin = permit_origin::Received;
     repeatUse();
 }
 
--- a/Source/decision/call_progress.h
+++ b/Source/decision/call_progress.h
@@ -13,7 +13,7 @@
 // Who may hold a call's ticket besides this call.
 enum class permit_origin {
     Minted, // By this node for this call: no earlier try can have used it.
-    Brought, // From the caller or a claim: earlier tries may have used it.
+    Received, // From the caller or a claim: earlier tries may have used it.
 };
 
 // What an attempt takes along.
@@ -54,7 +54,7 @@
 
     // For a request whose claim is known: its ticket stands for every earlier
     // try, so that the ticket's home can speak for all of them.
-    void claimKnown() { m_earlierMayHaveRun = false; }
+    void setClaimKnown() { m_earlierMayHaveRun = false; }
 
     // Whether an earlier try of the caller may have run, and no ticket or claim can tell.
     bool mustNotRun() const { return needsPermit() && m_earlierMayHaveRun; }
--- a/Source/decision/fading_mean.cpp
+++ b/Source/decision/decaying_mean.cpp
@@ -1,15 +1,15 @@
-#include "decision/fading_mean.h"
+#include "decision/decaying_mean.h"
 
 #include <cmath>
 
 namespace vanillashunt {
 
-double fading_mean::get(time_point now) const
+double decaying_mean::get(time_point now) const
 {
     return m_value * std::exp2(-std::chrono::duration<double>(now - m_noted) / m_halfLife);
 }
 
-void fading_mean::add(double sample, double weight, time_point now)
+void decaying_mean::add(double sample, double weight, time_point now)
 {
     auto known = get(now);
     m_value = known + weight * (sample - known);
--- a/Source/decision/fading_mean.h
+++ b/Source/decision/decaying_mean.h
@@ -6,12 +6,12 @@
 
 // A mean of what was seen, the latest counting most, that fades to zero while nothing is
 // seen: what holds of something that is not used cannot be confirmed.
-class fading_mean {
+class decaying_mean {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
     // What was seen this long ago counts for half.
-    explicit fading_mean(std::chrono::duration<double> halfLife)
+    explicit decaying_mean(std::chrono::duration<double> halfLife)
         : m_halfLife(halfLife)
     {
     }
--- a/Source/decision/poison_ledger.cpp
+++ b/Source/decision/poison_ledger.cpp
@@ -13,7 +13,7 @@
     bool addEnd(poison_record& record, std::uint64_t startHash)
     {
         auto& ends = record.ends;
-        if (ends.size() >= poisonEnds || std::find(ends.begin(), ends.end(), startHash) != ends.end()) {
+        if (ends.size() >= poisonThreshold || std::find(ends.begin(), ends.end(), startHash) != ends.end()) {
             return false;
         }
         ends.push_back(startHash);
@@ -27,7 +27,7 @@
         if (left.served != right.served || left.ends.size() != right.ends.size()) {
             return false;
         }
-        return left.ends.size() >= poisonEnds || std::is_permutation(left.ends.begin(), left.ends.end(), right.ends.begin());
+        return left.ends.size() >= poisonThreshold || std::is_permutation(left.ends.begin(), left.ends.end(), right.ends.begin());
     }
 
     // Which version of the document has the record that two others were joined to: none, if
@@ -66,26 +66,26 @@
     return true;
 }
 
-content_standing poison_ledger::standingOf(request_fingerprint content, wall_time now) const
+poison_status poison_ledger::statusOf(request_fingerprint content, wall_time now) const
 {
     auto found = m_records.find(content);
-    return found == m_records.end() ? content_standing::Harmless : standingOf(found->second, now);
+    return found == m_records.end() ? poison_status::Harmless : statusOf(found->second, now);
 }
 
-content_standing poison_ledger::standingOf(const poison_record& record, wall_time now)
+poison_status poison_ledger::statusOf(const poison_record& record, wall_time now)
 {
     if (record.served || isOver(record, now)) {
-        return content_standing::Harmless;
+        return poison_status::Harmless;
     }
-    if (record.ends.size() >= poisonEnds) {
-        return content_standing::Poison;
+    if (record.ends.size() >= poisonThreshold) {
+        return poison_status::Poison;
     }
-    return record.ends.size() + 1 == poisonEnds ? content_standing::NearlyPoison : content_standing::Suspect;
+    return record.ends.size() + 1 == poisonThreshold ? poison_status::NearlyPoison : poison_status::Suspect;
 }
 
 std::size_t poison_ledger::poisonCount(wall_time now) const
 {
-    return std::count_if(m_records.begin(), m_records.end(), [now](const auto& entry) { return standingOf(entry.second, now) == content_standing::Poison; });
+    return std::count_if(m_records.begin(), m_records.end(), [now](const auto& entry) { return statusOf(entry.second, now) == poison_status::Poison; });
 }
 
 bool poison_ledger::merge(const std::vector<poison_record>& others, wall_time now)
@@ -110,12 +110,12 @@
     return learnt;
 }
 
-void poison_ledger::knows(std::int64_t version)
+void poison_ledger::markSyncedTo(std::int64_t version)
 {
     m_version = std::max(m_version, version);
 }
 
-void poison_ledger::storedAs(const std::vector<poison_record>& document)
+void poison_ledger::reconcileWithStored(const std::vector<poison_record>& document)
 {
     std::unordered_map<request_fingerprint, const poison_record*> stored;
     for (const auto& each : document) {
@@ -166,7 +166,7 @@
 // The time of day may jump: what seems to lie ahead is as good as new.
 bool poison_ledger::isOver(const poison_record& record, wall_time now)
 {
-    return record.lastEnd + poisonMemory < now;
+    return record.lastEnd + poisonRetention < now;
 }
 
 // Those with the fewest ends go first, and of these the oldest.
--- a/Source/decision/poison_ledger.h
+++ b/Source/decision/poison_ledger.h
@@ -15,7 +15,7 @@
 struct poison_record {
     request_fingerprint content;
     // The starts of those servers, each once, by a hash that names the start; no more
-    // than `poisonEnds`.
+    // than `poisonThreshold`.
     std::vector<std::uint64_t> ends;
     // Whether a server has served it all the same: it ends no servers.
     bool served = false;
@@ -28,10 +28,10 @@
 // Servers that end under a content before it is taken for poison. An innocent request that
 // shared a server with poison comes to one end, or two if it is repeated; a third of the same
 // content is no coincidence any more, and is what the users' rule counts from.
-constexpr std::size_t poisonEnds = 3;
+constexpr std::size_t poisonThreshold = 3;
 
 // What servers' ends say of a content.
-enum class content_standing : std::uint8_t {
+enum class poison_status : std::uint8_t {
     Harmless, // No server has ended under it, or one has served it.
     Suspect, // Some have, too few to tell it from an innocent request beside poison.
     NearlyPoison, // One more end makes it poison.
@@ -40,7 +40,7 @@
 
 // For how long a content is remembered after the last end. Whoever sends it goes on for
 // minutes at most; an operator who has mended the servers waits no longer than this.
-constexpr std::chrono::minutes poisonMemory { 60 };
+constexpr std::chrono::minutes poisonRetention { 60 };
 
 // Knows the requests that end the servers which run them, by what they ask for and not by
 // their ids, so that a copy is known again at whichever node it comes in. Copies of one
@@ -59,7 +59,7 @@
     // A server has served a request of the content; returns whether that is news.
     bool served(request_fingerprint);
 
-    content_standing standingOf(request_fingerprint, wall_time now) const;
+    poison_status statusOf(request_fingerprint, wall_time now) const;
 
     // Whether any server has ended under it; for most contents none has.
     bool has(request_fingerprint content) const { return m_records.count(content) != 0; }
@@ -71,13 +71,13 @@
     bool merge(const std::vector<poison_record>&, wall_time now);
 
     // Everything up to the version of the shared document is known here.
-    void knows(std::int64_t version);
+    void markSyncedTo(std::int64_t version);
     // 0 while nothing is known of the shared document.
     std::int64_t version() const { return m_version; }
 
     // The shared document as it stands after the store has come back from a copy, or after a
     // writer that knew less: what it lacks of what is known here it is to get again.
-    void storedAs(const std::vector<poison_record>&);
+    void reconcileWithStored(const std::vector<poison_record>&);
 
     // Whether anything is known here that the shared document does not have, and what.
     bool hasUnshared(wall_time now) const;
@@ -93,7 +93,7 @@
 
 private:
     static bool isOver(const poison_record&, wall_time now);
-    static content_standing standingOf(const poison_record&, wall_time now);
+    static poison_status statusOf(const poison_record&, wall_time now);
     std::vector<poison_record> recordsWhere(const std::function<bool(const poison_record&)>&, wall_time now) const;
     void forget(wall_time now);
 
--- a/Source/decision/retry_allowance.cpp
+++ b/Source/decision/retry_allowance.cpp
@@ -34,7 +34,7 @@
 
 retry_allowance::service_window& retry_allowance::windowOf(const std::string& service)
 {
-    return m_windows.try_emplace(service, service_window { recent_count(m_settings.window), recent_count(m_settings.window) }).first->second;
+    return m_windows.try_emplace(service, service_window { sliding_window_counter(m_settings.window), sliding_window_counter(m_settings.window) }).first->second;
 }
 
 void retry_allowance::requested(const std::string& service, time_point now)
--- a/Source/decision/retry_allowance.h
+++ b/Source/decision/retry_allowance.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/recent_count.h"
+#include "decision/sliding_window_counter.h"
 
 #include <chrono>
 #include <cstddef>
@@ -39,8 +39,8 @@
 
 private:
     struct service_window {
-        recent_count requests;
-        recent_count repeats;
+        sliding_window_counter requests;
+        sliding_window_counter repeats;
     };
 
     service_window& windowOf(const std::string& service);
--- a/Source/decision/recent_count.cpp
+++ b/Source/decision/sliding_window_counter.cpp
@@ -1,15 +1,15 @@
-#include "decision/recent_count.h"
+#include "decision/sliding_window_counter.h"
 
 #include <algorithm>
 
 namespace vanillashunt {
 
-std::int64_t recent_count::partAt(time_point time) const
+std::int64_t sliding_window_counter::partAt(time_point time) const
 {
     return static_cast<std::int64_t>(time.time_since_epoch() / (m_window / static_cast<int>(parts)));
 }
 
-void recent_count::add(time_point now)
+void sliding_window_counter::add(time_point now)
 {
     auto part = partAt(now);
     auto passed = std::min<std::int64_t>(part - m_newest, parts);
@@ -20,7 +20,7 @@
     ++m_counts.at(static_cast<std::size_t>(part) % parts);
 }
 
-std::uint32_t recent_count::sum(time_point now) const
+std::uint32_t sliding_window_counter::sum(time_point now) const
 {
     // Parts that have left the window since the latest event.
     auto over = std::min<std::int64_t>(partAt(now) - m_newest, parts);
--- a/Source/decision/recent_count.h
+++ b/Source/decision/sliding_window_counter.h
@@ -8,11 +8,11 @@
 namespace vanillashunt {
 
 // Counts events in the window that ends now, in equal parts of it.
-class recent_count {
+class sliding_window_counter {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    explicit recent_count(std::chrono::milliseconds window)
+    explicit sliding_window_counter(std::chrono::milliseconds window)
         : m_window(window)
     {
     }
--- a/Source/decision/once_ledger.cpp
+++ b/Source/decision/ticket_ledger.cpp
@@ -1,36 +1,36 @@
-#include "decision/once_ledger.h"
+#include "decision/ticket_ledger.h"
 
 #include <algorithm>
 
 namespace vanillashunt {
 
-once_ledger::once_ledger(std::uint64_t incarnation, std::chrono::steady_clock::time_point started, once_rules rules)
+ticket_ledger::ticket_ledger(std::uint64_t incarnation, std::chrono::steady_clock::time_point started, ticket_ledger_rules rules)
     : m_rules(rules)
     , m_incarnation(incarnation)
     , m_started(started)
 {
 }
 
-std::chrono::milliseconds once_ledger::uptime(std::chrono::steady_clock::time_point now) const
+std::chrono::milliseconds ticket_ledger::uptime(std::chrono::steady_clock::time_point now) const
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(now - m_started);
 }
 
-ledger_finding once_ledger::begin(const ticket& permit, std::chrono::steady_clock::time_point now)
+ticket_state ticket_ledger::begin(const ticket& permit, std::chrono::steady_clock::time_point now)
 {
     if (m_rules.foreignNeverRuns && permit.home != m_incarnation) {
-        return ledger_finding::Foreign;
+        return ticket_state::Foreign;
     }
     // A time of validity that nobody can have minted would outlive the memory of its run.
     auto age = uptime(now);
     if (permit.validUntil <= age || permit.validUntil > age + 2 * ticketLifetime) {
-        return ledger_finding::Expired;
+        return ticket_state::Expired;
     }
-    auto found = m_entries.try_emplace(permit.nonce, entry { ledger_finding::Superseded, permit.validUntil, permit.use }).first;
+    auto found = m_entries.try_emplace(permit.nonce, entry { ticket_state::Superseded, permit.validUntil, permit.use }).first;
     auto& known = found->second;
     // The same nonce with a later time must not be forgotten before that time.
     known.validUntil = std::max(known.validUntil, permit.validUntil);
-    if (known.state != ledger_finding::Superseded) {
+    if (known.state != ticket_state::Superseded) {
         return known.state;
     }
     if (permit.use < known.leastUse) {
@@ -39,36 +39,36 @@
         refused(permit.nonce);
         return known.state;
     }
-    known.state = ledger_finding::Running;
+    known.state = ticket_state::Running;
     known.leastUse = permit.use;
-    return ledger_finding::Run;
+    return ticket_state::Run;
 }
 
-void once_ledger::ran(std::uint64_t nonce)
+void ticket_ledger::ran(std::uint64_t nonce)
 {
-    m_entries.at(nonce).state = ledger_finding::Ran;
+    m_entries.at(nonce).state = ticket_state::Ran;
     if (!m_rules.remembersRuns) {
         m_entries.erase(nonce);
     }
 }
 
-void once_ledger::lost(std::uint64_t nonce)
+void ticket_ledger::lost(std::uint64_t nonce)
 {
-    m_entries.at(nonce).state = ledger_finding::Lost;
+    m_entries.at(nonce).state = ticket_state::Lost;
 }
 
-void once_ledger::refused(std::uint64_t nonce)
+void ticket_ledger::refused(std::uint64_t nonce)
 {
     auto& known = m_entries.at(nonce);
-    known.state = ledger_finding::Superseded;
+    known.state = ticket_state::Superseded;
     if (m_rules.refusalEndsUse) {
         ++known.leastUse;
     }
 }
 
-void once_ledger::handOver(std::uint64_t nonce, const ticket& successor)
+void ticket_ledger::handOver(std::uint64_t nonce, const ticket& successor)
 {
-    m_entries.at(nonce).state = ledger_finding::HandedOver;
+    m_entries.at(nonce).state = ticket_state::HandedOver;
     if (m_rules.oneSuccessor) {
         m_successors.emplace(nonce, successor);
     } else {
@@ -76,24 +76,24 @@
     }
 }
 
-const ticket* once_ledger::successor(std::uint64_t nonce) const
+const ticket* ticket_ledger::successor(std::uint64_t nonce) const
 {
     auto found = m_successors.find(nonce);
     return found == m_successors.end() ? nullptr : &found->second;
 }
 
-std::uint32_t once_ledger::nextUse(std::uint64_t nonce) const
+std::uint32_t ticket_ledger::nextUse(std::uint64_t nonce) const
 {
     auto found = m_entries.find(nonce);
     return found == m_entries.end() ? 0 : found->second.leastUse;
 }
 
-std::vector<std::uint64_t> once_ledger::forgetExpired(std::chrono::steady_clock::time_point now)
+std::vector<std::uint64_t> ticket_ledger::forgetExpired(std::chrono::steady_clock::time_point now)
 {
     std::vector<std::uint64_t> forgotten;
     auto age = uptime(now);
     for (auto position = m_entries.begin(); position != m_entries.end();) {
-        bool keep = position->second.validUntil > age || position->second.state == ledger_finding::Running;
+        bool keep = position->second.validUntil > age || position->second.state == ticket_state::Running;
         if (keep) {
             ++position;
             continue;
--- a/Source/decision/once_ledger.h
+++ b/Source/decision/ticket_ledger.h
@@ -11,7 +11,7 @@
 namespace vanillashunt {
 
 // What a ledger says of a call that comes with a ticket.
-enum class ledger_finding {
+enum class ticket_state {
     Run, // Not seen before: it may run now, and only now.
     Running, // An earlier attempt is running or waits to run.
     Ran, // An earlier attempt ran to its end.
@@ -24,7 +24,7 @@
 
 // The rules that at-most-once rests on. Only tests switch one off, to see that
 // they would notice.
-struct once_rules {
+struct ticket_ledger_rules {
     // A refusal ends the use of the ticket that it refused.
     bool refusalEndsUse = true;
     // A ticket of another incarnation never runs.
@@ -38,13 +38,13 @@
 // The home's memory of the tickets that it has seen, which makes each
 // non-idempotent call run at most once. It needs no disk: a ticket names one
 // incarnation of one process, and the ledger lives exactly as long.
-class once_ledger {
+class ticket_ledger {
 public:
     // The incarnation that this ledger is for, and when its process started.
-    once_ledger(std::uint64_t incarnation, std::chrono::steady_clock::time_point started, once_rules = {});
+    ticket_ledger(std::uint64_t incarnation, std::chrono::steady_clock::time_point started, ticket_ledger_rules = {});
 
     // Claims the ticket for one run if nothing stands against it.
-    ledger_finding begin(const ticket&, std::chrono::steady_clock::time_point now);
+    ticket_state begin(const ticket&, std::chrono::steady_clock::time_point now);
 
     // Each ends a claim; the ticket cannot be claimed again.
     void ran(std::uint64_t nonce);
@@ -72,14 +72,14 @@
 
 private:
     struct entry {
-        ledger_finding state;
+        ticket_state state;
         std::chrono::milliseconds validUntil;
         std::uint32_t leastUse;
     };
 
     std::chrono::milliseconds uptime(std::chrono::steady_clock::time_point now) const;
 
-    once_rules m_rules;
+    ticket_ledger_rules m_rules;
     std::uint64_t m_incarnation;
     std::chrono::steady_clock::time_point m_started;
     std::unordered_map<std::uint64_t, entry> m_entries;
--- a/Source/node/inbound_calls.cpp
+++ b/Source/node/inbound_calls.cpp
@@ -21,16 +21,16 @@
         return size;
     }
 
-    verdict repeatVerdict(ledger_finding finding)
+    verdict repeatVerdict(ticket_state finding)
     {
         switch (finding) {
-        case ledger_finding::Ran:
+        case ticket_state::Ran:
             return verdict::ran(verdict_reason::AnswerNotKept);
-        case ledger_finding::Superseded:
+        case ticket_state::Superseded:
             return verdict::notRun(verdict_reason::TicketNeeded);
-        case ledger_finding::Lost:
+        case ticket_state::Lost:
             return verdict::mayHaveRun(verdict_reason::AnswerLost);
-        case ledger_finding::HandedOver:
+        case ticket_state::HandedOver:
             // Another try may have used the successor by now.
             return verdict::mayHaveRun(verdict_reason::TicketNeeded);
         default:
@@ -92,13 +92,13 @@
     if (request.permit) {
         auto nonce = request.permit->nonce;
         auto finding = m_ledger.begin(*request.permit, now);
-        if (finding == ledger_finding::Running) {
+        if (finding == ticket_state::Running) {
             // The repeat waits for the answer of the attempt that runs.
             auto running = m_arrivalOfNonce.at(nonce);
             m_arrivals.at(running).waiters.push_back({ request.callId, request.attempt, std::move(replier) });
             return running;
         }
-        if (finding != ledger_finding::Run) {
+        if (finding != ticket_state::Run) {
             answerRepeat(request, finding, replier);
             return id;
         }
@@ -126,11 +126,11 @@
     return id;
 }
 
-void inbound_calls::answerRepeat(const call_request& request, ledger_finding finding, const call_replier& replier)
+void inbound_calls::answerRepeat(const call_request& request, ticket_state finding, const call_replier& replier)
 {
     auto answer = answerWithout(request.callId, request.attempt, repeatVerdict(finding));
     auto kept = m_keptAnswers.find(request.permit->nonce);
-    if (finding == ledger_finding::Ran && kept != m_keptAnswers.end()) {
+    if (finding == ticket_state::Ran && kept != m_keptAnswers.end()) {
         answer = *kept->second;
         answer.callId = request.callId;
         answer.attempt = request.attempt;
--- a/Source/node/inbound_calls.h
+++ b/Source/node/inbound_calls.h
@@ -6,7 +6,7 @@
 #include "call/call_request.h"
 #include "contract/contract.h"
 #include "decision/member.h"
-#include "decision/once_ledger.h"
+#include "decision/ticket_ledger.h"
 
 #include <chrono>
 #include <cstdint>
@@ -98,7 +98,7 @@
     };
 
     std::optional<verdict> refusalBeforeGate(const call_request&) const;
-    void answerRepeat(const call_request&, ledger_finding, const call_replier&);
+    void answerRepeat(const call_request&, ticket_state, const call_replier&);
     void start(std::uint64_t arrivalId, std::chrono::steady_clock::time_point now);
     void refuse(std::uint64_t arrivalId, const verdict&, std::chrono::steady_clock::time_point now);
     void handOver(const call_request&, const verdict&, std::chrono::steady_clock::time_point now);
@@ -112,7 +112,7 @@
     inbound_hooks m_hooks;
     std::optional<backend_announcement> m_backend;
     admission_gate m_gate;
-    once_ledger m_ledger;
+    ticket_ledger m_ledger;
     bool m_draining = false;
     std::chrono::steady_clock::time_point m_nextForget;
     std::unordered_map<std::uint64_t, arrival> m_arrivals;
--- a/Source/node/outbound_calls.cpp
+++ b/Source/node/outbound_calls.cpp
@@ -169,7 +169,7 @@
     call.arrived = now;
     auto refusal = classify(asked, brought, call, now);
     if (asked.permit) {
-        call.progress.setPermit(*asked.permit, permit_origin::Brought);
+        call.progress.setPermit(*asked.permit, permit_origin::Received);
     }
     call.request.service = std::move(asked.service);
     call.request.method = std::move(asked.method);
@@ -236,15 +236,15 @@
             return;
         }
         // The ticket goes to the caller unused: its repeat needs no store.
-        call.progress.setPermit(own, permit_origin::Brought);
+        call.progress.setPermit(own, permit_origin::Received);
         finish(callId, answerWithout(callId, 0, verdict::notRun(verdict_reason::TicketNeeded)), "repeat the request with the enclosed ticket", now);
         return;
     }
-    call.progress.claimKnown();
+    call.progress.setClaimKnown();
     if (const auto* standing = std::get_if<claim_standing>(&result)) {
-        call.progress.setPermit(standing->permit, permit_origin::Brought);
+        call.progress.setPermit(standing->permit, permit_origin::Received);
     } else {
-        call.progress.setPermit(own, permit_origin::Brought);
+        call.progress.setPermit(own, permit_origin::Received);
     }
     attempt(callId, now);
 }
--- a/Source/node/poison_share.cpp
+++ b/Source/node/poison_share.cpp
@@ -113,7 +113,7 @@
 void poison_share::storeReturned()
 {
     m_revision.reset();
-    m_ledger.storedAs({});
+    m_ledger.reconcileWithStored({});
     m_watched.storeReturned();
     save();
 }
@@ -122,7 +122,7 @@
 {
     auto before = m_ledger.version();
     m_ledger.merge(document.records, m_hooks.wallNow());
-    m_ledger.knows(document.version);
+    m_ledger.markSyncedTo(document.version);
     if (m_ledger.version() > before) {
         logEvent(events::poisonChanged, { { "version", std::to_string(m_ledger.version()) }, { "contents", std::to_string(m_ledger.size()) } });
         m_hooks.changed();
@@ -136,7 +136,7 @@
     if (auto document = parsePoisonDocument(entry.value)) {
         bool isOlder = document->version <= m_ledger.version();
         if (isOlder && entry.modRevision == m_revision) {
-            m_ledger.storedAs(document->records);
+            m_ledger.reconcileWithStored(document->records);
         }
         take(*document);
     } else {
--- a/Source/node/poison_share.h
+++ b/Source/node/poison_share.h
@@ -48,9 +48,9 @@
     // That server has served a request of the content.
     void served(request_fingerprint);
 
-    content_standing standingOf(request_fingerprint content) const
+    poison_status standingOf(request_fingerprint content) const
     {
-        return m_ledger.has(content) ? m_ledger.standingOf(content, m_hooks.wallNow()) : content_standing::Harmless;
+        return m_ledger.has(content) ? m_ledger.statusOf(content, m_hooks.wallNow()) : poison_status::Harmless;
     }
 
     // Contents that are poison.
--- a/Source/node/quota_service.cpp
+++ b/Source/node/quota_service.cpp
@@ -44,7 +44,7 @@
 Json::Value quota_service::standingOf(const std::string& organisation, time_point now)
 {
     Json::Value json;
-    auto standing = m_exchange.standingOf(organisation, now);
+    auto standing = m_exchange.statusOf(organisation, now);
     json["organisation"] = organisation;
     json["known"] = standing.has_value();
     if (!standing) {
--- a/Source/node/routed_calls.h
+++ b/Source/node/routed_calls.h
@@ -32,7 +32,7 @@
     // That server has ended while it had requests.
     std::function<void(const server_end&)> serverEnded;
     // What servers' ends say of the content.
-    std::function<content_standing(request_fingerprint)> standingOf;
+    std::function<poison_status(request_fingerprint)> standingOf;
     // That server has served a request of the content.
     std::function<void(request_fingerprint)> contentServed;
     // As those of the entry.
--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -154,7 +154,7 @@
     context.position = sheddingPosition(context.level, context.requestId);
     context.idempotent = found->idempotent;
     context.deadline = std::min(request.deadline, now + found->timeout);
-    if (standingOf(call) == content_standing::Poison) {
+    if (standingOf(call) == poison_status::Poison) {
         m_calls.emplace(callId, std::move(call));
         refusePoison(callId, now);
         return callId;
@@ -269,9 +269,9 @@
 // 10 ms; 0.89 and 0.20 where targets let them wait (the test FreeSlots). A target whose load
 // was told a moment ago was chosen for it, and is not asked: among few nodes it would add calls
 // at the nodes that have most to do.
-std::optional<member> routed_entry::chooseTarget(entry_call& call, content_standing standing, time_point now)
+std::optional<member> routed_entry::chooseTarget(entry_call& call, poison_status standing, time_point now)
 {
-    if (standing == content_standing::NearlyPoison) {
+    if (standing == poison_status::NearlyPoison) {
         return chooseAgreed(call);
     }
     auto passedOver = call.tried;
@@ -297,15 +297,15 @@
     return isTried ? std::nullopt : agreed;
 }
 
-content_standing routed_entry::standingOf(const entry_call& call) const
+poison_status routed_entry::standingOf(const entry_call& call) const
 {
-    return m_hooks.standingOf ? m_hooks.standingOf(call.request.context.content) : content_standing::Harmless;
+    return m_hooks.standingOf ? m_hooks.standingOf(call.request.context.content) : poison_status::Harmless;
 }
 
 // To come back before it is forgotten is in vain.
 void routed_entry::refusePoison(std::uint64_t callId, time_point now)
 {
-    giveUp(callId, verdict::notRun(verdict_reason::Poison, poisonMemory), "servers have ended under requests like this one", now);
+    giveUp(callId, verdict::notRun(verdict_reason::Poison, poisonRetention), "servers have ended under requests like this one", now);
 }
 
 void routed_entry::attempt(std::uint64_t callId, time_point now)
@@ -316,7 +316,7 @@
         return;
     }
     auto standing = standingOf(call);
-    if (standing == content_standing::Poison) {
+    if (standing == poison_status::Poison) {
         refusePoison(callId, now);
         return;
     }
--- a/Source/node/routed_entry.h
+++ b/Source/node/routed_entry.h
@@ -65,7 +65,7 @@
     // A call of the own server ended.
     std::function<void(std::uint64_t runId, const onward_report&)> onwardEnded;
     // What servers' ends say of the content; without the hook every one is harmless.
-    std::function<content_standing(request_fingerprint)> standingOf;
+    std::function<poison_status(request_fingerprint)> standingOf;
     // Lets the request go on when its organisation's quota has room; as quota_account's. Without
     // the hooks there are no limits.
     std::function<std::uint64_t(const quota_request&, quota_handler, time_point now)> takeQuota;
@@ -170,9 +170,9 @@
     void endQuota(entry_call&, time_point now);
     void learn(const entry_call&, const call_answer&, time_point now);
     void attempt(std::uint64_t callId, time_point now);
-    content_standing standingOf(const entry_call&) const;
+    poison_status standingOf(const entry_call&) const;
     void refusePoison(std::uint64_t callId, time_point now);
-    std::optional<member> chooseTarget(entry_call&, content_standing, time_point now);
+    std::optional<member> chooseTarget(entry_call&, poison_status, time_point now);
     std::optional<member> chooseAgreed(entry_call&);
     void noteReached(entry_call&, time_point now);
     bool mayTryAgain(entry_call&, const call_answer&, std::chrono::microseconds latency, time_point now);
--- a/Source/node/routed_target.cpp
+++ b/Source/node/routed_target.cpp
@@ -97,10 +97,10 @@
 std::optional<verdict> routed_target::refusalOfContent(const call_request& request) const
 {
     auto standing = standingOf(request);
-    if (standing == content_standing::Poison) {
-        return verdict::notRun(verdict_reason::Poison, poisonMemory);
+    if (standing == poison_status::Poison) {
+        return verdict::notRun(verdict_reason::Poison, poisonRetention);
     }
-    if (standing != content_standing::Harmless && isInProgress(request.context.content)) {
+    if (standing != poison_status::Harmless && isInProgress(request.context.content)) {
         return verdict::notRun(verdict_reason::Poison, suspectReturn);
     }
     return std::nullopt;
@@ -154,18 +154,18 @@
     m_pace.told(load, m_server->slots, m_gate.inFlight(), now);
 }
 
-content_standing routed_target::standingOf(const call_request& request) const
+poison_status routed_target::standingOf(const call_request& request) const
 {
-    return m_hooks.standingOf ? m_hooks.standingOf(request.context.content) : content_standing::Harmless;
+    return m_hooks.standingOf ? m_hooks.standingOf(request.context.content) : poison_status::Harmless;
 }
 
 void routed_target::start(std::uint64_t arrivalId, time_point now)
 {
     auto& entry = m_arrivals.at(arrivalId);
-    if (standingOf(entry.request) == content_standing::Poison) {
+    if (standingOf(entry.request) == poison_status::Poison) {
         // It has become known while the call waited.
         m_gate.cancel(arrivalId, now);
-        refuse(arrivalId, verdict::notRun(verdict_reason::Poison, poisonMemory), now);
+        refuse(arrivalId, verdict::notRun(verdict_reason::Poison, poisonRetention), now);
         return;
     }
     entry.running = true;
--- a/Source/node/routed_target.h
+++ b/Source/node/routed_target.h
@@ -30,7 +30,7 @@
     // The server has ended while it had requests.
     std::function<void(const server_end&)> serverEnded;
     // What servers' ends say of the content; without the hook every one is harmless.
-    std::function<content_standing(request_fingerprint)> standingOf;
+    std::function<poison_status(request_fingerprint)> standingOf;
     // The server has served a request of the content. Its own failures don't count: it may give
     // up at the deadline what would have ended it a moment later.
     std::function<void(request_fingerprint)> contentServed;
@@ -59,7 +59,7 @@
     std::string service;
     // The cut that the call has met there or below, and what it took of that service.
     shedding_position cut = 0;
-    narrowest_cost cost {};
+    bottleneck_cost cost {};
     // The call itself, if it went to another availability zone, and those below it.
     std::uint32_t zoneCrossings = 0;
 };
@@ -121,7 +121,7 @@
         std::uint64_t sum = 0;
         std::uint32_t calls = 0;
         // Of all of them together.
-        narrowest_cost cost {};
+        bottleneck_cost cost {};
 
         shedding_position mean() const { return static_cast<shedding_position>(sum / calls); }
     };
@@ -143,7 +143,7 @@
     void noteServed(const call_request&);
     std::optional<verdict> refusalBeforeGate(const call_request&) const;
     void start(std::uint64_t arrivalId, time_point now);
-    content_standing standingOf(const call_request&) const;
+    poison_status standingOf(const call_request&) const;
     bool isBetterElsewhere(time_point now);
     bool isInProgress(request_fingerprint) const;
     std::optional<verdict> refusalOfContent(const call_request&) const;
--- a/Source/peer/quota_codec.cpp
+++ b/Source/peer/quota_codec.cpp
@@ -43,7 +43,7 @@
     {
         std::uint16_t askCount = 0;
         std::uint16_t grantCount = 0;
-        if (source(askCount, grantCount) || askCount > mostQuotaEntries || grantCount > mostQuotaEntries) {
+        if (source(askCount, grantCount) || askCount > maxQuotaEntries || grantCount > maxQuotaEntries) {
             return false;
         }
         for (std::uint16_t i = 0; i < askCount; ++i) {
--- a/Source/quota/pool_owner.cpp
+++ b/Source/quota/pool_owner_selector.cpp
@@ -1,4 +1,4 @@
-#include "quota/pool_owner.h"
+#include "quota/pool_owner_selector.h"
 
 #include "decision/rendezvous.h"
 
@@ -15,12 +15,12 @@
 
 }
 
-pool_owner::pool_owner(std::uint64_t selfId)
+pool_owner_selector::pool_owner_selector(std::uint64_t selfId)
     : m_selfId(selfId)
 {
 }
 
-void pool_owner::setMembers(const member_list& members)
+void pool_owner_selector::setMembers(const member_list& members)
 {
     m_candidates.clear();
     m_byId.clear();
@@ -36,7 +36,7 @@
     }
 }
 
-std::optional<member> pool_owner::of(const std::string& availabilityZone, time_point now) const
+std::optional<member> pool_owner_selector::of(const std::string& availabilityZone, time_point now) const
 {
     auto found = m_candidates.find(availabilityZone);
     if (found == m_candidates.end()) {
@@ -55,7 +55,7 @@
     return isOwn ? std::optional(self->second) : std::nullopt;
 }
 
-std::vector<std::string> pool_owner::zonesBeside(const std::string& availabilityZone) const
+std::vector<std::string> pool_owner_selector::zonesBeside(const std::string& availabilityZone) const
 {
     std::vector<std::string> result;
     for (const auto& [zone, candidates] : m_candidates) {
@@ -66,13 +66,13 @@
     return result;
 }
 
-bool pool_owner::isPassedOver(std::uint64_t memberId, time_point now) const
+bool pool_owner_selector::isPassedOver(std::uint64_t memberId, time_point now) const
 {
     auto found = m_silent.find(memberId);
     return found != m_silent.end() && now < found->second.passedOverUntil;
 }
 
-void pool_owner::unanswered(std::uint64_t memberId, time_point now)
+void pool_owner_selector::unanswered(std::uint64_t memberId, time_point now)
 {
     auto& entry = m_silent[memberId];
     if (++entry.inARow >= mostUnanswered) {
@@ -81,7 +81,7 @@
     }
 }
 
-void pool_owner::answered(std::uint64_t memberId)
+void pool_owner_selector::answered(std::uint64_t memberId)
 {
     m_silent.erase(memberId);
 }
--- a/Source/quota/pool_owner.h
+++ b/Source/quota/pool_owner_selector.h
@@ -13,11 +13,11 @@
 
 // Chooses the node whose pool an availability zone uses: the first in rendezvous order of
 // those that answer. Nodes need not agree: what each gives away, it gives to one.
-class pool_owner {
+class pool_owner_selector {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    explicit pool_owner(std::uint64_t selfId);
+    explicit pool_owner_selector(std::uint64_t selfId);
 
     void setMembers(const member_list&);
 
--- a/Source/quota/quota_exchange.cpp
+++ b/Source/quota/quota_exchange.cpp
@@ -82,13 +82,13 @@
     m_account.configurationChanged(now);
 }
 
-std::optional<quota_standing> quota_exchange::standingOf(const std::string& organisation, time_point now)
+std::optional<quota_status> quota_exchange::statusOf(const std::string& organisation, time_point now)
 {
     auto found = m_quotas.find(organisation);
     if (found == m_quotas.end()) {
         return std::nullopt;
     }
-    quota_standing standing { found->second, m_account.admitted(organisation, now), m_account.waiting(organisation), std::nullopt };
+    quota_status standing { found->second, m_account.admitted(organisation, now), m_account.waiting(organisation), std::nullopt };
     if (!owner(now)) {
         standing.pool = m_pool.available(organisation, now);
     }
@@ -206,7 +206,7 @@
     message.kind = quota_kind::Accrual;
     message.sequence = nextSequence();
     message.accrual = { m_settings.selfId, m_share, std::exchange(m_unused, seconds(0)) };
-    unused.resize(std::min(unused.size(), mostQuotaEntries));
+    unused.resize(std::min(unused.size(), maxQuotaEntries));
     message.grants = std::move(unused);
     send(*poolOwner, std::move(message), purpose::Accrual, now);
 }
@@ -222,7 +222,7 @@
     if (shortages.empty()) {
         return;
     }
-    shortages.resize(std::min(shortages.size(), mostQuotaEntries));
+    shortages.resize(std::min(shortages.size(), maxQuotaEntries));
     for (const auto& zone : zones) {
         auto poolOwner = m_owners.of(zone, now);
         if (!poolOwner) {
--- a/Source/quota/quota_exchange.h
+++ b/Source/quota/quota_exchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "quota/pool_owner.h"
+#include "quota/pool_owner_selector.h"
 #include "quota/quota_account.h"
 #include "quota/quota_message.h"
-#include "quota/zone_census.h"
+#include "quota/zone_node_counter.h"
 #include "routes/route_configuration.h"
 
 #include <chrono>
@@ -40,7 +40,7 @@
 };
 
 // What one node knows of an organisation's limit.
-struct quota_standing {
+struct quota_status {
     organisation_quota quota;
     // Requests that it let through in the last seconds, and those that wait here.
     std::uint32_t admitted = 0;
@@ -78,7 +78,7 @@
     void tick(time_point now);
 
     // What is known here of an organisation's limit; nothing for one without.
-    std::optional<quota_standing> standingOf(const std::string& organisation, time_point now);
+    std::optional<quota_status> statusOf(const std::string& organisation, time_point now);
 
     const quota_counts& counts() const { return m_counts; }
     // This node's part of every limit, from 0 to 1.
@@ -114,8 +114,8 @@
 
     quota_settings m_settings;
     quota_hooks m_hooks;
-    zone_census m_census;
-    pool_owner m_owners;
+    zone_node_counter m_census;
+    pool_owner_selector m_owners;
     quota_pool m_pool;
     quota_account m_account;
     quota_counts m_counts;
--- a/Source/quota/quota_message.h
+++ b/Source/quota/quota_message.h
@@ -10,7 +10,7 @@
 namespace vanillashunt {
 
 // Organisations that one message asks for or gives to, at most: it is one datagram.
-constexpr std::size_t mostQuotaEntries = 32;
+constexpr std::size_t maxQuotaEntries = 32;
 
 enum class quota_kind : std::uint8_t {
     // A node gives its pool what it has not used.
--- a/Source/quota/recent_admissions.h
+++ b/Source/quota/recent_admissions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/recent_count.h"
+#include "decision/sliding_window_counter.h"
 
 #include <chrono>
 #include <cstdint>
@@ -26,7 +26,7 @@
     void forgetIdle(time_point now);
 
 private:
-    std::unordered_map<std::string, recent_count> m_entries;
+    std::unordered_map<std::string, sliding_window_counter> m_entries;
 };
 
 }
--- a/Source/quota/zone_census.cpp
+++ b/Source/quota/zone_node_counter.cpp
@@ -1,4 +1,4 @@
-#include "quota/zone_census.h"
+#include "quota/zone_node_counter.h"
 
 #include <algorithm>
 
@@ -19,14 +19,14 @@
 
 }
 
-zone_census::zone_census(std::string availabilityZone, time_point started)
+zone_node_counter::zone_node_counter(std::string availabilityZone, time_point started)
     : m_zone(std::move(availabilityZone))
     , m_started(started)
     , m_lastGrown(started)
 {
 }
 
-void zone_census::setMembers(const member_list& members, time_point now)
+void zone_node_counter::setMembers(const member_list& members, time_point now)
 {
     std::unordered_map<std::string, const member*> present;
     for (const auto& each : *members) {
@@ -56,7 +56,7 @@
     }
 }
 
-std::optional<std::size_t> zone_census::count(time_point now) const
+std::optional<std::size_t> zone_node_counter::count(time_point now) const
 {
     if (now - m_started < shortestStart || now - m_lastGrown < quietTime) {
         return std::nullopt;
--- a/Source/quota/zone_census.h
+++ b/Source/quota/zone_node_counter.h
@@ -15,12 +15,12 @@
 // reaches them: what each may do alone is divided by the count, so that their sum is never
 // too much. A node that fell silent may be cut off and at work; one that left on purpose, or
 // whose name a newer process has, is not.
-class zone_census {
+class zone_node_counter {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
     // The time is when the process started.
-    zone_census(std::string availabilityZone, time_point started);
+    zone_node_counter(std::string availabilityZone, time_point started);
 
     void setMembers(const member_list&, time_point now);
 
--- a/Source/routing/service_room.h
+++ b/Source/routing/service_room.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/fading_mean.h"
+#include "decision/decaying_mean.h"
 
 #include <chrono>
 #include <string>
@@ -24,7 +24,7 @@
 
 private:
     // By service: part of the answers that told of a full target.
-    std::unordered_map<std::string, fading_mean> m_fullParts;
+    std::unordered_map<std::string, decaying_mean> m_fullParts;
 };
 
 }
--- a/Source/routing/target_view.h
+++ b/Source/routing/target_view.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/fading_mean.h"
+#include "decision/decaying_mean.h"
 #include "decision/shedding_position.h"
 #include "decision/verdict.h"
 
@@ -73,7 +73,7 @@
     // Attempts in a row for which no connection came about.
     std::uint32_t m_unreachedInRow = 0;
     // Part of the attempts that brought no answer, the latest counting most.
-    fading_mean m_lost;
+    decaying_mean m_lost;
     std::uint32_t m_failuresInRow = 0;
     // Since when at least one answer is owed and none has come.
     std::chrono::steady_clock::time_point m_owesSince;
@@ -85,7 +85,7 @@
     std::uint32_t m_limit = 0;
     std::optional<double> m_pace;
     std::chrono::steady_clock::time_point m_reported;
-    fading_mean m_zoneCrossings;
+    decaying_mean m_zoneCrossings;
 };
 
 }
--- a/Tests/AtMostOnce/at_most_once_test.cpp
+++ b/Tests/AtMostOnce/at_most_once_test.cpp
@@ -1,5 +1,5 @@
 #include "decision/call_progress.h"
-#include "decision/once_ledger.h"
+#include "decision/ticket_ledger.h"
 
 #include <gtest/gtest.h>
 
@@ -20,14 +20,14 @@
 
     struct home_node {
         std::uint64_t incarnation;
-        once_ledger ledger;
+        ticket_ledger ledger;
     };
 
     // One non-idempotent request through a schedule of losses, delays, refusals,
     // restarts and repeats through other nodes.
     class schedule {
     public:
-        schedule(std::uint64_t seed, once_rules rules, bool homesLeave)
+        schedule(std::uint64_t seed, ticket_ledger_rules rules, bool homesLeave)
             : m_random(seed)
             , m_rules(rules)
             , m_homesLeave(homesLeave)
@@ -48,7 +48,7 @@
             for (int tries = 0; tries < 6 && m_problem.empty(); ++tries) {
                 call_progress progress(false, 2, mayHaveRun);
                 if (brought) {
-                    progress.setPermit(*brought, permit_origin::Brought);
+                    progress.setPermit(*brought, permit_origin::Received);
                 }
                 auto run = playTry(progress);
                 if (run == execution::Ran) {
@@ -73,7 +73,7 @@
         home_node newHome()
         {
             auto incarnation = m_random();
-            return { incarnation, once_ledger(incarnation, m_now, m_rules) };
+            return { incarnation, ticket_ledger(incarnation, m_now, m_rules) };
         }
 
         ticket mintFor(std::size_t home)
@@ -160,13 +160,13 @@
         {
             auto& ledger = m_homes[home].ledger;
             switch (ledger.begin(permit, m_now)) {
-            case ledger_finding::Run:
+            case ticket_state::Run:
                 break;
-            case ledger_finding::Ran:
+            case ticket_state::Ran:
                 return { verdict::answered(), 1, 0, false };
-            case ledger_finding::Superseded:
+            case ticket_state::Superseded:
                 return { verdict::notRun(verdict_reason::TicketNeeded), 1, ledger.nextUse(permit.nonce), false };
-            case ledger_finding::HandedOver:
+            case ticket_state::HandedOver:
                 if (!m_rules.oneSuccessor) {
                     ledger.handOver(permit.nonce, mintFor(otherThan(home)));
                 }
@@ -201,7 +201,7 @@
         }
 
         std::mt19937_64 m_random;
-        once_rules m_rules;
+        ticket_ledger_rules m_rules;
         // Homes hand over what they refuse, and callers repeat with their keys.
         bool m_homesLeave;
         std::optional<ticket> m_claimed;
@@ -216,7 +216,7 @@
     constexpr std::uint64_t schedules = 20000;
 
     // The first problem of many schedules; empty if none has one.
-    std::string firstProblem(once_rules rules, bool homesLeave = false)
+    std::string firstProblem(ticket_ledger_rules rules, bool homesLeave = false)
     {
         for (std::uint64_t seed = 1; seed <= schedules; ++seed) {
             auto problem = schedule(seed, rules, homesLeave).play();
@@ -236,21 +236,21 @@
 
 TEST(AtMostOnce, BreaksIfARefusalDoesNotEndTheUse)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.refusalEndsUse = false;
     EXPECT_NE(firstProblem(rules), "");
 }
 
 TEST(AtMostOnce, BreaksIfAForeignTicketRuns)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.foreignNeverRuns = false;
     EXPECT_NE(firstProblem(rules), "");
 }
 
 TEST(AtMostOnce, BreaksIfRunsAreForgotten)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.remembersRuns = false;
     EXPECT_NE(firstProblem(rules), "");
 }
@@ -262,7 +262,7 @@
 
 TEST(AtMostOnce, BreaksIfATicketHasTwoSuccessors)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.oneSuccessor = false;
     EXPECT_NE(firstProblem(rules, true), "");
 }
@@ -270,14 +270,14 @@
 TEST(AtMostOnce, ATicketThatWasHandedOverNeverRunsAtItsHome)
 {
     time_point start;
-    once_ledger ledger(7, start);
+    ticket_ledger ledger(7, start);
     ticket permit { 7, std::chrono::milliseconds(100), 1, 0, false };
     ticket successor { 8, std::chrono::milliseconds(100), 2, 0, false };
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::Run);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::Run);
     ledger.refused(1);
     ledger.handOver(1, successor);
     permit.use = ledger.nextUse(1);
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::HandedOver);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::HandedOver);
     ASSERT_NE(ledger.successor(1), nullptr);
     EXPECT_EQ(*ledger.successor(1), successor);
     EXPECT_EQ(ledger.forgetExpired(start + std::chrono::milliseconds(100)).size(), 1U);
@@ -287,20 +287,20 @@
 TEST(AtMostOnce, AnExpiredTicketIsNeitherRunNorCalledUnrun)
 {
     time_point start;
-    once_ledger ledger(7, start);
+    ticket_ledger ledger(7, start);
     ticket permit { 7, std::chrono::milliseconds(100), 1, 0, false };
-    EXPECT_EQ(ledger.begin(permit, start + std::chrono::milliseconds(100)), ledger_finding::Expired);
+    EXPECT_EQ(ledger.begin(permit, start + std::chrono::milliseconds(100)), ticket_state::Expired);
 }
 
 TEST(AtMostOnce, AWaitingTicketIsNotForgottenAndARunOneIsInTime)
 {
     time_point start;
-    once_ledger ledger(7, start);
+    ticket_ledger ledger(7, start);
     ticket permit { 7, std::chrono::milliseconds(100), 1, 0, false };
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::Run);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::Run);
     EXPECT_TRUE(ledger.forgetExpired(start + std::chrono::milliseconds(100)).empty());
     ledger.ran(1);
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::Ran);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::Ran);
     EXPECT_EQ(ledger.forgetExpired(start + std::chrono::milliseconds(100)).size(), 1U);
     EXPECT_EQ(ledger.size(), 0U);
 }
--- a/Tests/FuzzEdges/edge_inputs.cpp
+++ b/Tests/FuzzEdges/edge_inputs.cpp
@@ -263,7 +263,7 @@
     std::string examplePoison()
     {
         poison_ledger ledger;
-        for (std::uint64_t start = 1; start <= poisonEnds; ++start) {
+        for (std::uint64_t start = 1; start <= poisonThreshold; ++start) {
             ledger.serverEnded(start, { fingerprintOf("/a", ""), fingerprintOf("/b", "") }, wallNow);
         }
         ledger.served(fingerprintOf("/b", ""));
--- a/Tests/RoutedEntry/routed_entry_test.cpp
+++ b/Tests/RoutedEntry/routed_entry_test.cpp
@@ -100,7 +100,7 @@
         std::optional<parent_run> parent;
         // What servers have ended under.
         std::vector<request_fingerprint> poison;
-        content_standing standing = content_standing::Poison;
+        poison_status standing = poison_status::Poison;
 
     private:
         static entry_settings settings(double slack)
@@ -129,7 +129,7 @@
                 }
             };
             result.standingOf = [this](request_fingerprint content) {
-                return std::count(poison.begin(), poison.end(), content) != 0 ? standing : content_standing::Harmless;
+                return std::count(poison.begin(), poison.end(), content) != 0 ? standing : poison_status::Harmless;
             };
             result.findParent = [this](const entry_request&) { return parent; };
             result.onwardEnded = [this](std::uint64_t, const onward_report& report) { onwardCuts.push_back(report.cut); };
@@ -521,7 +521,7 @@
     ASSERT_EQ(world.answers.size(), 1U);
     EXPECT_EQ(world.answers.back().refusalStatus, 503U);
     EXPECT_EQ(world.answers.back().outcome.reason, verdict_reason::Poison);
-    EXPECT_EQ(world.answers.back().outcome.retryAfter, poisonMemory);
+    EXPECT_EQ(world.answers.back().outcome.retryAfter, poisonRetention);
     world.arrive("/x/2");
     EXPECT_EQ(world.sent.size(), 1U);
 }
@@ -539,7 +539,7 @@
     EXPECT_EQ(world.answers.back().refusalStatus, 502U);
     world.poison.clear();
     world.arrive();
-    world.answer(verdict::notRun(verdict_reason::Poison, poisonMemory));
+    world.answer(verdict::notRun(verdict_reason::Poison, poisonRetention));
     EXPECT_EQ(world.sent.size(), 2U);
     EXPECT_EQ(world.answers.back().refusalStatus, 503U);
 }
@@ -551,7 +551,7 @@
     std::set<std::uint64_t> usualTargets;
     entry_world world;
     world.configure();
-    world.standing = content_standing::NearlyPoison;
+    world.standing = poison_status::NearlyPoison;
     world.poison = { fingerprintOf("/x/1", "") };
     constexpr int copies = 40;
     for (int copy = 0; copy < copies; ++copy) {
--- a/Tests/RoutedTarget/routed_target_test.cpp
+++ b/Tests/RoutedTarget/routed_target_test.cpp
@@ -73,7 +73,7 @@
         std::string path = "/x/1";
         // What servers have ended under, as the other nodes tell.
         std::vector<request_fingerprint> poison;
-        content_standing standing = content_standing::Poison;
+        poison_status standing = poison_status::Poison;
         int asked = 0;
         std::vector<server_end> ends;
         std::vector<request_fingerprint> served;
@@ -88,7 +88,7 @@
             result.askServer = [this] { ++asked; };
             result.serverEnded = [this](const server_end& end) { ends.push_back(end); };
             result.standingOf = [this](request_fingerprint content) {
-                return std::count(poison.begin(), poison.end(), content) != 0 ? standing : content_standing::Harmless;
+                return std::count(poison.begin(), poison.end(), content) != 0 ? standing : poison_status::Harmless;
             };
             result.contentServed = [this](request_fingerprint content) { served.push_back(content); };
             result.random = [this] { return ++m_lastId; };
@@ -387,7 +387,7 @@
 TEST(RoutedTarget, GivesItsServerOneAtATimeOfWhatOthersHaveEndedUnder)
 {
     target_world world;
-    world.standing = content_standing::Suspect;
+    world.standing = poison_status::Suspect;
     world.poison = { fingerprintOf("/x/1", "") };
     world.arrive();
     world.arrive();
--- a/Tests/StoreGoesBack/store_goes_back_test.cpp
+++ b/Tests/StoreGoesBack/store_goes_back_test.cpp
@@ -148,16 +148,16 @@
             share.serverEnded({ { instance, {} }, { deadly } });
         }
     });
-    while (storedEnds() < poisonEnds) {
+    while (storedEnds() < poisonThreshold) {
         std::this_thread::sleep_for(milliseconds(10));
     }
     world.returnToCopy();
     ASSERT_EQ(storedEnds(), 0U);
     loop.runAndWait([&] { share.storeBack(); });
-    while (storedEnds() < poisonEnds) {
+    while (storedEnds() < poisonThreshold) {
         std::this_thread::sleep_for(milliseconds(10));
     }
-    loop.runAndWait([&] { EXPECT_EQ(share.standingOf(deadly), content_standing::Poison); });
+    loop.runAndWait([&] { EXPECT_EQ(share.standingOf(deadly), poison_status::Poison); });
     loop.context.stop();
 }
 
