--- a/Source/decision/bottleneck_cost.h
+++ b/Source/decision/bottleneck_cost.h
@@ -5,11 +5,11 @@
 
 namespace vanillashunt {
 
-// What one whole request took of the service that is narrowest on its call chain.
+// The slot time that one whole request used at the bottleneck service of its call chain.
 struct bottleneck_cost {
-    // The service; the deepest one while none on the chain is overloaded.
+    // The bottleneck service; the deepest service while none on the chain is overloaded.
     std::string service;
-    // Time for which the request held slots there, over all calls of its chain.
+    // Time for which the request held slots there, summed over all calls of its chain.
     std::chrono::microseconds slotTime { 0 };
 };
 
--- a/Source/decision/call_progress.cpp
+++ b/Source/decision/call_progress.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    // Whether trying again cannot help: what is shed by its position at one server
-    // is shed at all, and time that is over does not come back. A server that had
-    // no room for a call above its cut says nothing of the others.
+    // Whether a retry cannot succeed. A call that one server sheds because of its position is
+    // shed by all of them, and a deadline that has passed stays passed. A server that had no
+    // room for a call at or above its cut says nothing about the other servers.
     bool isFinal(verdict_reason reason, bool belowCut)
     {
         switch (reason) {
@@ -45,8 +45,8 @@
 
 attempt_start call_progress::begin(std::uint64_t memberId)
 {
-    // Half of the tokens stay here, for a retry after an answer that was lost
-    // together with the tokens that it carried.
+    // Keeps half of the tokens, for a retry if the answer is lost together with the tokens
+    // that it returns.
     m_tokensSent = (m_tokens + 1) / 2;
     m_tokens -= m_tokensSent;
     m_repeatsUse = false;
@@ -61,8 +61,8 @@
     bool neverSent = result.outcome.reason == verdict_reason::PeerUnreachable;
     m_tokens += neverSent ? m_tokensSent : std::min(result.tokens, m_tokensSent);
     m_tokensSent = 0;
-    bool othersHoldIt = m_origin == permit_origin::Received || result.outcome.run == execution::MayHaveRun;
-    if (result.successor && m_permit && othersHoldIt) {
+    bool mayBeUsedElsewhere = m_origin == permit_origin::Received || result.outcome.run == execution::MayHaveRun;
+    if (result.successor && m_permit && mayBeUsedElsewhere) {
         handedOver(result);
         return;
     }
@@ -78,7 +78,7 @@
 void call_progress::refused(const attempt_result& result)
 {
     if (result.outcome.reason == verdict_reason::PeerUnreachable) {
-        // The home was not asked, so it cannot speak for earlier uses of the ticket.
+        // The home was not reached, so it is still unknown whether the ticket ran before.
         if (m_origin == permit_origin::Received) {
             m_attemptMayHaveRun = true;
         } else if (!m_attemptMayHaveRun) {
@@ -86,7 +86,7 @@
         }
         return;
     }
-    // The home itself says that nothing ran, and ends this use of the ticket.
+    // The home itself reports that nothing ran, and invalidates this use number.
     m_attemptMayHaveRun = false;
     if (m_origin == permit_origin::Minted) {
         m_permit.reset();
@@ -99,8 +99,8 @@
     }
 }
 
-// The ticket ran nowhere, and never will; another try may have used the successor before, of
-// which only the successor's home can tell.
+// The ticket has not run and never will. Another try may have used the successor before, which
+// only the successor's home knows.
 void call_progress::handedOver(const attempt_result& result)
 {
     m_earlierMayHaveRun = false;
@@ -110,7 +110,7 @@
     repeatUse();
 }
 
-// Once for each call, so that homes which all leave do not send it round for ever.
+// Allowed once per call, so that homes that are all leaving do not redirect it endlessly.
 void call_progress::repeatUse()
 {
     m_repeatsUse = !m_useRepeated;
--- a/Source/decision/call_progress.h
+++ b/Source/decision/call_progress.h
@@ -10,72 +10,72 @@
 
 namespace vanillashunt {
 
-// Who may hold a call's ticket besides this call.
+// Where the ticket of a call (its permit) comes from, and so whether an earlier try can have used it.
 enum class permit_origin {
-    Minted, // By this node for this call: no earlier try can have used it.
-    Received, // From the caller or a claim: earlier tries may have used it.
+    Minted, // Created by this node for this call: no earlier try can have used it.
+    Received, // From the caller or from a claim in the store: earlier tries may have used it.
 };
 
-// What an attempt takes along.
+// What is sent with an attempt.
 struct attempt_start {
     // 1 for the first attempt.
     std::uint32_t attempt = 0;
-    // Retry tokens for everything below the attempt.
+    // Retry tokens for the attempt and all calls made on its behalf.
     std::uint32_t tokens = 0;
 };
 
-// What came of an attempt.
+// The result of an attempt.
 struct attempt_result {
     verdict outcome;
-    // Retry tokens that came back with the answer.
+    // Retry tokens returned with the answer.
     std::uint32_t tokens = 0;
-    // The use of the ticket that its home would run next.
+    // The next use number of the ticket that its home accepts.
     std::uint32_t nextUse = 0;
-    // Whether the call's shedding position is below the cut that came back: then
-    // every other server sheds it too.
+    // Whether the call's shedding position is below the cut returned with the answer.
+    // If so, every other server sheds the call, too.
     bool belowCut = false;
-    // Stands for the ticket from now on: its home can run nothing more, and handed it over.
+    // Replaces the call's ticket from now on: the home of that ticket can run no more calls and handed it over.
     std::optional<ticket> successor = std::nullopt;
 };
 
-// How a call's attempts may follow each other, and what may be said of the
-// whole call: retry tokens are conserved, a ticket is used at one home only, and
-// "not run" is said only if no attempt ran or can still run.
+// Tracks the attempts of one call: decides whether another attempt may follow and what
+// the caller is told of the whole call. Retry tokens are conserved, a ticket is used at
+// one home only, and "not run" is reported only if no attempt ran or can still run.
 class call_progress {
 public:
     call_progress() = default;
-    // earlierMayHaveRun: whether an earlier try of the caller may have run.
+    // earlierMayHaveRun: whether an earlier try by the caller may have run.
     call_progress(bool idempotent, std::uint32_t tokens, bool earlierMayHaveRun);
 
-    // The ticket that the next attempt is to use; its home is the only target then.
+    // The ticket for the next attempt, which may then go to the ticket's home only.
     const std::optional<ticket>& permit() const { return m_permit; }
     bool needsPermit() const { return !m_idempotent && !m_permit; }
     void setPermit(const ticket&, permit_origin);
 
-    // For a request whose claim is known: its ticket stands for every earlier
-    // try, so that the ticket's home can speak for all of them.
+    // The request's claim has been read from the store. Every earlier try used the ticket
+    // that the claim names, so the ticket's home knows whether any of them ran.
     void setClaimKnown() { m_earlierMayHaveRun = false; }
 
-    // Whether an earlier try of the caller may have run, and no ticket or claim can tell.
+    // Whether an earlier try by the caller may have run and there is no ticket or claim to find out.
     bool mustNotRun() const { return needsPermit() && m_earlierMayHaveRun; }
 
-    // Members that were tried, for the router to avoid.
+    // Members that were tried already; the router avoids them.
     const std::vector<std::uint64_t>& tried() const { return m_tried; }
 
     attempt_start begin(std::uint64_t memberId);
     void finished(const attempt_result&);
 
-    // For an attempt that is given up without a result.
+    // The attempt was given up without a result.
     void abandoned();
 
-    // Whether another attempt may follow the last one; retry() spends its token.
+    // Whether another attempt may follow the last one; retry() spends the token for it.
     bool mayRetry(std::chrono::steady_clock::time_point deadline, std::chrono::steady_clock::time_point now) const;
-    // Whether the next attempt only tells the home the ticket's next use, or goes to the home
-    // of its successor, which is no retry of work: the home answered that it did nothing.
+    // Whether the next attempt repeats the call with the ticket's next use number or at the home
+    // of its successor. This costs no retry token, since the home answered that it ran nothing.
     bool repeatsUse() const { return m_repeatsUse; }
     void retry();
 
-    // What may be said of the whole call after the last attempt.
+    // What the caller is told of the whole call after the last attempt.
     execution overall(execution last) const;
 
     std::uint32_t tokens() const { return m_tokens; }
--- a/Source/decision/claim_budget.cpp
+++ b/Source/decision/claim_budget.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Claims a second for the whole fleet; about half of the writes that the store takes.
+    // Claims per second for the whole fleet; about half of the writes that the store sustains.
     constexpr double fleetRate = 150;
 
     // Claims that one node may make at once.
--- a/Source/decision/claim_budget.h
+++ b/Source/decision/claim_budget.h
@@ -5,12 +5,12 @@
 
 namespace vanillashunt {
 
-// This node's part of the claims that all nodes together may write to the
-// platform's store: a token bucket whose rate falls as the fleet grows, so that
-// the store's calls do not grow with it.
+// This node's share of the claims that all nodes together may write to the platform's
+// store: a token bucket whose rate falls as the fleet grows, so that the load on the
+// store does not grow with the number of nodes.
 class claim_budget {
 public:
-    // Takes one claim; false where none is left now.
+    // Takes one claim from the budget; returns false if none is left.
     bool take(std::size_t liveNodes, std::chrono::steady_clock::time_point now);
 
 private:
--- a/Source/decision/decaying_mean.cpp
+++ b/Source/decision/decaying_mean.cpp
@@ -6,14 +6,14 @@
 
 double decaying_mean::get(time_point now) const
 {
-    return m_value * std::exp2(-std::chrono::duration<double>(now - m_noted) / m_halfLife);
+    return m_value * std::exp2(-std::chrono::duration<double>(now - m_updated) / m_halfLife);
 }
 
 void decaying_mean::add(double sample, double weight, time_point now)
 {
-    auto known = get(now);
-    m_value = known + weight * (sample - known);
-    m_noted = now;
+    auto current = get(now);
+    m_value = current + weight * (sample - current);
+    m_updated = now;
 }
 
 }
--- a/Source/decision/importance.cpp
+++ b/Source/decision/importance.cpp
@@ -15,11 +15,11 @@
     return "unknown";
 }
 
-std::optional<importance> parseImportance(const std::string& word)
+std::optional<importance> parseImportance(const std::string& name)
 {
     for (int level = 0; level < importanceCount; ++level) {
         auto candidate = static_cast<importance>(level);
-        if (toString(candidate) == word) {
+        if (toString(candidate) == name) {
             return candidate;
         }
     }
--- a/Source/decision/importance.h
+++ b/Source/decision/importance.h
@@ -6,11 +6,11 @@
 
 namespace vanillashunt {
 
-// How much a request matters to its organisation; the lesser value is shed first.
-// An onward call carries the importance of the request that it is part of.
+// The importance of a request to its organisation; lower values are shed first.
+// An onward call inherits the importance of the request that it belongs to.
 enum class importance : std::uint8_t {
-    Deferrable = 0, // Can wait or be asked again: history reads, stand-alone lookups.
-    Interactive = 1, // Somebody waits for it, and nothing is lost by a refusal.
+    Deferrable = 0, // Can wait or be repeated later: history reads, stand-alone lookups.
+    Interactive = 1, // A user waits for the answer, but a refusal loses nothing.
     Confirmed = 2, // Shed last: confirmed replies, orders, dockets.
 };
 
@@ -18,7 +18,7 @@
 
 std::string toString(importance);
 
-// Returns nothing for a word that names no importance.
-std::optional<importance> parseImportance(const std::string& word);
+// The inverse of toString; nullopt for any other text.
+std::optional<importance> parseImportance(const std::string& name);
 
 }
--- a/Source/decision/poison_ledger.cpp
+++ b/Source/decision/poison_ledger.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-    // Bounds the shared document, at some 70 bytes a record, to a seventh of the megabyte
-    // that one key may hold. A server's end brings as many as it has slots, 250 at most.
-    constexpr std::size_t mostRecords = 2048;
+    // At some 70 bytes per record, limits the shared document to a seventh of the megabyte that
+    // one key of the store may hold. Each end of a server adds as many records as the server
+    // has slots, 250 at most.
+    constexpr std::size_t maxRecords = 2048;
 
     bool addEnd(poison_record& record, std::uint64_t startHash)
     {
@@ -20,9 +21,9 @@
         return true;
     }
 
-    // Whether both say the same, wherever they were read. Which ends make up the full number
-    // makes no difference.
-    bool isAsMuch(const poison_record& left, const poison_record& right)
+    // Whether both contain the same information, whatever their versions. Once the threshold is
+    // reached, it makes no difference which ends are listed.
+    bool isEquivalent(const poison_record& left, const poison_record& right)
     {
         if (left.served != right.served || left.ends.size() != right.ends.size()) {
             return false;
@@ -30,14 +31,14 @@
         return left.ends.size() >= poisonThreshold || std::is_permutation(left.ends.begin(), left.ends.end(), right.ends.begin());
     }
 
-    // Which version of the document has the record that two others were joined to: none, if
-    // both have brought something.
-    std::int64_t versionOf(const poison_record& joined, const poison_record& own, const poison_record& other)
+    // The version of the document that contains the record merged from two others; 0 if both
+    // contributed to it, since then no document contains it yet.
+    std::int64_t mergedVersion(const poison_record& merged, const poison_record& own, const poison_record& other)
     {
-        if (isAsMuch(joined, other)) {
+        if (isEquivalent(merged, other)) {
             return std::max(own.version, other.version);
         }
-        return isAsMuch(joined, own) ? own.version : 0;
+        return isEquivalent(merged, own) ? own.version : 0;
     }
 
 }
@@ -52,7 +53,7 @@
             record.version = 0;
         }
     }
-    forget(now);
+    prune(now);
 }
 
 bool poison_ledger::served(request_fingerprint content)
@@ -74,7 +75,7 @@
 
 poison_status poison_ledger::statusOf(const poison_record& record, wall_time now)
 {
-    if (record.served || isOver(record, now)) {
+    if (record.served || isExpired(record, now)) {
         return poison_status::Harmless;
     }
     if (record.ends.size() >= poisonThreshold) {
@@ -90,9 +91,9 @@
 
 bool poison_ledger::merge(const std::vector<poison_record>& others, wall_time now)
 {
-    bool learnt = false;
+    bool changed = false;
     for (const auto& other : others) {
-        if (isOver(other, now)) {
+        if (isExpired(other, now)) {
             continue;
         }
         auto& record = m_records[other.content];
@@ -103,11 +104,11 @@
         for (auto start : other.ends) {
             addEnd(record, start);
         }
-        record.version = versionOf(record, before, other);
-        learnt = learnt || !isAsMuch(record, before);
+        record.version = mergedVersion(record, before, other);
+        changed = changed || !isEquivalent(record, before);
     }
-    forget(now);
-    return learnt;
+    prune(now);
+    return changed;
 }
 
 void poison_ledger::markSyncedTo(std::int64_t version)
@@ -118,19 +119,19 @@
 void poison_ledger::reconcileWithStored(const std::vector<poison_record>& document)
 {
     std::unordered_map<request_fingerprint, const poison_record*> stored;
-    for (const auto& each : document) {
-        stored[each.content] = &each;
+    for (const auto& storedRecord : document) {
+        stored[storedRecord.content] = &storedRecord;
     }
     for (auto& [content, record] : m_records) {
         auto found = stored.find(content);
-        bool isThere = found != stored.end() && isAsMuch(record, *found->second);
-        record.version = isThere ? record.version : 0;
+        bool isStored = found != stored.end() && isEquivalent(record, *found->second);
+        record.version = isStored ? record.version : 0;
     }
 }
 
 bool poison_ledger::hasUnshared(wall_time now) const
 {
-    return std::any_of(m_records.begin(), m_records.end(), [now](const auto& entry) { return entry.second.version == 0 && !isOver(entry.second, now); });
+    return std::any_of(m_records.begin(), m_records.end(), [now](const auto& entry) { return entry.second.version == 0 && !isExpired(entry.second, now); });
 }
 
 std::vector<poison_record> poison_ledger::unshared(wall_time now) const
@@ -152,37 +153,38 @@
     return recordsWhere([version](const poison_record& record) { return record.version > version; }, now);
 }
 
-std::vector<poison_record> poison_ledger::recordsWhere(const std::function<bool(const poison_record&)>& wanted, wall_time now) const
+std::vector<poison_record> poison_ledger::recordsWhere(const std::function<bool(const poison_record&)>& predicate, wall_time now) const
 {
     std::vector<poison_record> records;
     for (const auto& [content, record] : m_records) {
-        if (wanted(record) && !isOver(record, now)) {
+        if (predicate(record) && !isExpired(record, now)) {
             records.push_back(record);
         }
     }
     return records;
 }
 
-// The time of day may jump: what seems to lie ahead is as good as new.
-bool poison_ledger::isOver(const poison_record& record, wall_time now)
+// The system clock may jump: a time in the future counts as recent.
+bool poison_ledger::isExpired(const poison_record& record, wall_time now)
 {
     return record.lastEnd + poisonRetention < now;
 }
 
-// Those with the fewest ends go first, and of these the oldest.
-void poison_ledger::forget(wall_time now)
+// Removes expired records, then those in excess: the ones with the fewest ends first, and among
+// these the oldest.
+void poison_ledger::prune(wall_time now)
 {
-    for (auto each = m_records.begin(); each != m_records.end();) {
-        each = isOver(each->second, now) ? m_records.erase(each) : std::next(each);
+    for (auto position = m_records.begin(); position != m_records.end();) {
+        position = isExpired(position->second, now) ? m_records.erase(position) : std::next(position);
     }
-    while (m_records.size() > mostRecords) {
-        auto least = std::min_element(m_records.begin(), m_records.end(), [](const auto& left, const auto& right) {
+    while (m_records.size() > maxRecords) {
+        auto weakest = std::min_element(m_records.begin(), m_records.end(), [](const auto& left, const auto& right) {
             auto weight = [](const poison_record& record) { return record.served ? 0 : record.ends.size(); };
             auto leftWeight = weight(left.second);
             auto rightWeight = weight(right.second);
             return leftWeight != rightWeight ? leftWeight < rightWeight : left.second.lastEnd < right.second.lastEnd;
         });
-        m_records.erase(least);
+        m_records.erase(weakest);
     }
 }
 
--- a/Source/decision/recent_contents.h
+++ b/Source/decision/recent_contents.h
@@ -7,21 +7,22 @@
 
 namespace vanillashunt {
 
-// Remembers contents that were served here lately, without a time or a search: each has one
-// place, which a later content may take. What is asked for often is nearly always there.
+// A fixed-size cache of contents that were served here recently. Each content has one slot,
+// which another content may overwrite, so that it needs no timestamps and no search.
+// Contents that are requested often are nearly always present.
 class recent_contents {
 public:
-    void add(request_fingerprint content) { m_places[placeOf(content)] = content; }
+    void add(request_fingerprint content) { m_slots[slotOf(content)] = content; }
 
-    bool has(request_fingerprint content) const { return m_places[placeOf(content)] == content; }
+    bool has(request_fingerprint content) const { return m_slots[slotOf(content)] == content; }
 
 private:
-    // 32 KB: half a minute of 140 requests a second.
-    static constexpr std::size_t places = 4096;
+    // 32 KB; holds half a minute at 140 requests per second.
+    static constexpr std::size_t slotCount = 4096;
 
-    static std::size_t placeOf(request_fingerprint content) { return content.value % places; }
+    static std::size_t slotOf(request_fingerprint content) { return content.value % slotCount; }
 
-    std::array<request_fingerprint, places> m_places {};
+    std::array<request_fingerprint, slotCount> m_slots {};
 };
 
 }
--- a/Source/decision/request_context.h
+++ b/Source/decision/request_context.h
@@ -10,25 +10,25 @@
 
 namespace vanillashunt {
 
-// What every hop of a call chain knows of the whole request that it serves.
+// What every node on a call chain knows of the whole request.
 struct request_context {
-    // Names the whole request; every onward call carries the same.
+    // Identifies the whole request; all onward calls carry the same id.
     std::string requestId;
     std::string organisation;
-    // What this call asks for. Not on the wire: each node works it out for itself.
+    // Identifies the path and body of this call. Not on the wire: each node computes it.
     request_fingerprint content;
-    // The contract's class at the entry, for example "desk-reply".
+    // The request class that the contract assigns at the entry node, for example "desk-reply".
     std::string requestClass;
     importance level = importance::Deferrable;
     shedding_position position = 0;
     // Whether this call may run twice.
     bool idempotent = true;
-    // Retries that this call and everything below it may still spend together.
+    // Retries that this call and all calls below it may still spend together.
     std::uint32_t retryTokens = 0;
-    // Calls above this one; 0 at the entry.
+    // Number of calls above this one; 0 at the entry node.
     std::uint32_t depth = 0;
-    // When the whole request runs out of time, on this node's clock. On the wire
-    // it is a remaining duration.
+    // Deadline of the whole request on this node's clock. The remaining duration is sent on
+    // the wire.
     std::chrono::steady_clock::time_point deadline;
 };
 
--- a/Source/decision/request_fingerprint.cpp
+++ b/Source/decision/request_fingerprint.cpp
@@ -13,18 +13,19 @@
 
 }
 
-// The body's hash is the seed of the path's, so that no byte can move from one to the other.
+// Seeds the path's hash with the body's hash, so that moving bytes from one to the other changes
+// the fingerprint.
 request_fingerprint fingerprintOf(std::string_view path, std::string_view body)
 {
-    auto ofBody = XXH3_64bits(body.data(), body.size());
-    return { XXH3_64bits_withSeed(path.data(), path.size(), ofBody) };
+    auto bodyHash = XXH3_64bits(body.data(), body.size());
+    return { XXH3_64bits_withSeed(path.data(), path.size(), bodyHash) };
 }
 
 std::string toString(request_fingerprint fingerprint)
 {
     std::string text(digits, '0');
-    for (auto place = text.rbegin(); place != text.rend(); ++place) {
-        *place = "0123456789abcdef"[fingerprint.value % base];
+    for (auto digit = text.rbegin(); digit != text.rend(); ++digit) {
+        *digit = "0123456789abcdef"[fingerprint.value % base];
         fingerprint.value /= base;
     }
     return text;
@@ -34,8 +35,8 @@
 {
     request_fingerprint result;
     const auto* end = text.data() + text.size();
-    auto read = std::from_chars(text.data(), end, result.value, base);
-    if (text.size() != digits || read.ec != std::errc() || read.ptr != end) {
+    auto parsed = std::from_chars(text.data(), end, result.value, base);
+    if (text.size() != digits || parsed.ec != std::errc() || parsed.ptr != end) {
         return std::nullopt;
     }
     return result;
--- a/Source/decision/request_fingerprint.h
+++ b/Source/decision/request_fingerprint.h
@@ -8,9 +8,8 @@
 
 namespace vanillashunt {
 
-// What a request asks for, whatever its id: two requests of the same path and body have
-// the same one. Who calls is left out on purpose, so that the same content is known again
-// at whichever machine it comes in.
+// A hash of the path and body of a request. The request's id is not part of it, and neither
+// is the caller, so that every machine recognises a request with the same content.
 struct request_fingerprint {
     std::uint64_t value = 0;
 };
@@ -30,7 +29,7 @@
     return left.value < right.value;
 }
 
-// The path is with its query.
+// The path includes the query.
 request_fingerprint fingerprintOf(std::string_view path, std::string_view body);
 
 // 16 hexadecimal digits.
--- a/Source/decision/retry_allowance.cpp
+++ b/Source/decision/retry_allowance.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-    // Part of the ratio that is spent. The calls that a repeated request makes
-    // again count as repeats, too, where they arrive: on a chain of four services
-    // each repeat at the top is one at every service below.
-    constexpr double spentPartOfRatio = 0.25;
+    // Fraction of the ratio that is used. The onward calls of a retried request count as retries
+    // at the services that they reach, too: on a chain of four services, each retry at the first
+    // one causes a retry at every service below.
+    constexpr double usedRatioFraction = 0.25;
 
-    // Part of the slack that is spent: nodes that do not know of each other take
-    // theirs for larger than it is.
-    constexpr double spentPartOfSlack = 0.5;
+    // Fraction of the slack that is used: nodes that do not know of each other overestimate
+    // their share.
+    constexpr double usedSlackFraction = 0.5;
 
-    // A node that has just started does not know yet how many share the slack. The
-    // members are known within two seconds.
-    constexpr std::chrono::seconds unsettledTime { 5 };
+    // A node that has just started does not know yet how many nodes share the slack. It learns
+    // of all members within two seconds.
+    constexpr std::chrono::seconds settlingTime { 5 };
 
 }
 
@@ -42,22 +42,22 @@
     windowOf(service).requests.add(now);
 }
 
-double retry_allowance::ownSlack(time_point now) const
+double retry_allowance::slackShare(time_point now) const
 {
-    if (now - m_started < unsettledTime) {
+    if (now - m_started < settlingTime) {
         return 0;
     }
-    return spentPartOfSlack * m_settings.slack / static_cast<double>(m_nodes);
+    return usedSlackFraction * m_settings.slack / static_cast<double>(m_nodes);
 }
 
 bool retry_allowance::take(const std::string& service, time_point now)
 {
     auto& window = windowOf(service);
-    auto most = spentPartOfRatio * m_settings.ratio * window.requests.sum(now) + ownSlack(now);
-    if (window.repeats.sum(now) + 1 > most) {
+    auto limit = usedRatioFraction * m_settings.ratio * window.requests.sum(now) + slackShare(now);
+    if (window.retries.sum(now) + 1 > limit) {
         return false;
     }
-    window.repeats.add(now);
+    window.retries.add(now);
     return true;
 }
 
--- a/Source/decision/retry_budget.cpp
+++ b/Source/decision/retry_budget.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-    // Retries for each first attempt, in the long run.
+    // Long-term number of retries per first attempt.
     constexpr double ratio = 0.1;
 
-    // Retries that a service may cost at once, so that one dead server among few
-    // calls does not use the budget up.
-    constexpr double most = 20;
+    // Retries to one service that are possible in a burst, so that a single dead server does
+    // not use up the budget of a service with few calls.
+    constexpr double maxCredit = 20;
 
 }
 
 void retry_budget::firstAttempt(const std::string& service)
 {
-    auto& credit = m_credit.try_emplace(service, most).first->second;
-    credit = std::min(most, credit + ratio);
+    auto& credit = m_credit.try_emplace(service, maxCredit).first->second;
+    credit = std::min(maxCredit, credit + ratio);
 }
 
 bool retry_budget::takeRetry(const std::string& service)
 {
-    auto& credit = m_credit.try_emplace(service, most).first->second;
+    auto& credit = m_credit.try_emplace(service, maxCredit).first->second;
     if (credit < 1) {
         return false;
     }
--- a/Source/decision/retry_budget.h
+++ b/Source/decision/retry_budget.h
@@ -5,13 +5,13 @@
 
 namespace vanillashunt {
 
-// Keeps a node's retries to a service below a fixed part of its first attempts,
-// so that retries cannot become the load when a whole service fails.
+// Limits a node's retries to a service to a fixed fraction of its first attempts, so that
+// retries do not overload a service that fails as a whole.
 class retry_budget {
 public:
     void firstAttempt(const std::string& service);
 
-    // Takes one retry; false where the part is used up.
+    // Takes one retry; returns false if the budget is used up.
     bool takeRetry(const std::string& service);
 
 private:
--- a/Source/decision/run_deadlines.cpp
+++ b/Source/decision/run_deadlines.cpp
@@ -8,34 +8,35 @@
 
     using std::chrono::milliseconds;
 
-    // A deadline goes over the wire in whole milliseconds, twice, and comes back
-    // later by the time that node and server take to hand it on.
-    constexpr milliseconds earliestEcho { -2 };
-    constexpr milliseconds latestEcho { 9 };
+    // How far the deadline of an onward call may be off the one sent to the server: it is rounded
+    // to whole milliseconds on the wire twice, and the node and the server each take some time to
+    // pass it on.
+    constexpr milliseconds minEchoOffset { -2 };
+    constexpr milliseconds maxEchoOffset { 9 };
 
-    // Runs are kept apart by this where it costs none of them more than the most.
+    // Deadlines are kept this far apart, as long as none is shortened by more than the maximum.
     constexpr milliseconds spacing { 8 };
-    constexpr milliseconds mostShortening { 40 };
+    constexpr milliseconds maxShortening { 40 };
 
 }
 
 run_deadlines::time_point run_deadlines::begin(std::uint64_t runId, time_point deadline)
 {
-    auto told = deadline;
-    while (deadline - told < mostShortening) {
-        auto next = m_runs.lower_bound(told - spacing);
-        if (next == m_runs.end() || next->first >= told + spacing) {
+    auto assigned = deadline;
+    while (deadline - assigned < maxShortening) {
+        auto next = m_runs.lower_bound(assigned - spacing);
+        if (next == m_runs.end() || next->first >= assigned + spacing) {
             break;
         }
-        told = next->first - spacing;
+        assigned = next->first - spacing;
     }
-    // Two runs at the very same time would be one entry.
-    while (m_runs.count(told) != 0) {
-        told -= std::chrono::microseconds(1);
+    // Two runs with the same deadline would share one entry.
+    while (m_runs.count(assigned) != 0) {
+        assigned -= std::chrono::microseconds(1);
     }
-    m_runs.emplace(told, runId);
-    m_deadlines[runId] = told;
-    return told;
+    m_runs.emplace(assigned, runId);
+    m_deadlines[runId] = assigned;
+    return assigned;
 }
 
 void run_deadlines::end(std::uint64_t runId)
@@ -48,13 +49,13 @@
 
 std::optional<std::uint64_t> run_deadlines::find(time_point deadline) const
 {
-    // The latest that is not after the call's own, but for rounding.
-    auto after = m_runs.upper_bound(deadline - earliestEcho);
+    // The latest deadline that is not after the call's own, except for rounding.
+    auto after = m_runs.upper_bound(deadline - minEchoOffset);
     if (after == m_runs.begin()) {
         return std::nullopt;
     }
     auto found = std::prev(after);
-    if (deadline - found->first > latestEcho) {
+    if (deadline - found->first > maxEchoOffset) {
         return std::nullopt;
     }
     return found->second;
--- a/Source/decision/run_deadlines.h
+++ b/Source/decision/run_deadlines.h
@@ -8,20 +8,20 @@
 
 namespace vanillashunt {
 
-// Tells which run of the own server made a call. A server's own calls carry no
-// mark of it, but they expire when the run does, and all of it happens on one
-// machine: so each run is given a deadline that no other run has.
+// Identifies the run of this node's backend server that made an onward call. Such calls do
+// not name their run, but they carry its deadline, which arrives nearly unchanged since node
+// and server are on one machine. Therefore each run is assigned a deadline of its own.
 class run_deadlines {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // Notes a run; returns the deadline to tell the server, which is the run's own
+    // Registers a run; returns the deadline to send to the server, which is the run's own
     // or a few milliseconds earlier.
     time_point begin(std::uint64_t runId, time_point deadline);
 
     void end(std::uint64_t runId);
 
-    // The run whose calls expire then; nothing if there is none.
+    // The run whose calls carry this deadline; nullopt if there is none.
     std::optional<std::uint64_t> find(time_point deadline) const;
 
 private:
--- a/Source/decision/shedding_position.cpp
+++ b/Source/decision/shedding_position.cpp
@@ -12,19 +12,19 @@
     return base + static_cast<shedding_position>(hash % positionsPerImportance);
 }
 
-shedding_position rankedPosition(shedding_position byRoute, organisation_rank rank)
+shedding_position rankedPosition(shedding_position routePosition, organisation_rank rank)
 {
     constexpr auto confirmedBase = static_cast<shedding_position>(importance::Confirmed) * positionsPerImportance;
     auto width = positionsPerImportance / std::max(1U, rank.count);
     auto ranksBelow = rank.count - 1 - std::min(rank.before, rank.count - 1);
     if (ranksBelow > 0) {
-        // All that the organisation asks, in the order of its routes, above the others.
-        return confirmedBase + ranksBelow * width + byRoute * width / sheddingPositionCount;
+        // Places all requests of the organisation, in the order of its routes, above all lower ranks.
+        return confirmedBase + ranksBelow * width + routePosition * width / sheddingPositionCount;
     }
-    if (byRoute < confirmedBase) {
-        return byRoute;
+    if (routePosition < confirmedBase) {
+        return routePosition;
     }
-    return confirmedBase + (byRoute - confirmedBase) * width / positionsPerImportance;
+    return confirmedBase + (routePosition - confirmedBase) * width / positionsPerImportance;
 }
 
 }
--- a/Source/decision/sliding_window_counter.cpp
+++ b/Source/decision/sliding_window_counter.cpp
@@ -4,29 +4,29 @@
 
 namespace vanillashunt {
 
-std::int64_t sliding_window_counter::partAt(time_point time) const
+std::int64_t sliding_window_counter::bucketAt(time_point time) const
 {
-    return static_cast<std::int64_t>(time.time_since_epoch() / (m_window / static_cast<int>(parts)));
+    return static_cast<std::int64_t>(time.time_since_epoch() / (m_window / static_cast<int>(bucketCount)));
 }
 
 void sliding_window_counter::add(time_point now)
 {
-    auto part = partAt(now);
-    auto passed = std::min<std::int64_t>(part - m_newest, parts);
-    for (std::int64_t back = 0; back < passed; ++back) {
-        m_counts.at(static_cast<std::size_t>(part - back) % parts) = 0;
+    auto bucket = bucketAt(now);
+    auto elapsed = std::min<std::int64_t>(bucket - m_newestBucket, bucketCount);
+    for (std::int64_t offset = 0; offset < elapsed; ++offset) {
+        m_counts.at(static_cast<std::size_t>(bucket - offset) % bucketCount) = 0;
     }
-    m_newest = part;
-    ++m_counts.at(static_cast<std::size_t>(part) % parts);
+    m_newestBucket = bucket;
+    ++m_counts.at(static_cast<std::size_t>(bucket) % bucketCount);
 }
 
 std::uint32_t sliding_window_counter::sum(time_point now) const
 {
-    // Parts that have left the window since the latest event.
-    auto over = std::min<std::int64_t>(partAt(now) - m_newest, parts);
+    // Number of buckets that have left the window since the latest event.
+    auto expired = std::min<std::int64_t>(bucketAt(now) - m_newestBucket, bucketCount);
     std::uint32_t result = 0;
-    for (std::int64_t back = 0; back < static_cast<std::int64_t>(parts) - std::max<std::int64_t>(over, 0); ++back) {
-        result += m_counts.at(static_cast<std::size_t>(m_newest - back) % parts);
+    for (std::int64_t offset = 0; offset < static_cast<std::int64_t>(bucketCount) - std::max<std::int64_t>(expired, 0); ++offset) {
+        result += m_counts.at(static_cast<std::size_t>(m_newestBucket - offset) % bucketCount);
     }
     return result;
 }
--- a/Source/decision/sliding_window_counter.h
+++ b/Source/decision/sliding_window_counter.h
@@ -7,7 +7,7 @@
 
 namespace vanillashunt {
 
-// Counts events in the window that ends now, in equal parts of it.
+// Counts the events in a time window that ends now, in buckets of equal length.
 class sliding_window_counter {
 public:
     using time_point = std::chrono::steady_clock::time_point;
@@ -22,15 +22,15 @@
     std::uint32_t sum(time_point now) const;
 
 private:
-    static constexpr std::size_t parts = 20;
+    static constexpr std::size_t bucketCount = 20;
 
-    // Number of the part since the clock began.
-    std::int64_t partAt(time_point) const;
+    // Index of the bucket that contains the time, counted from the clock's epoch.
+    std::int64_t bucketAt(time_point) const;
 
     std::chrono::milliseconds m_window;
-    std::array<std::uint32_t, parts> m_counts {};
-    // The part of the latest event.
-    std::int64_t m_newest = 0;
+    std::array<std::uint32_t, bucketCount> m_counts {};
+    // The bucket of the latest event.
+    std::int64_t m_newestBucket = 0;
 };
 
 }
--- a/Source/decision/ticket.cpp
+++ b/Source/decision/ticket.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // The form is home, validity, nonce, use and claim, in hexadecimal.
+    // The text form is home, validity, nonce, use and claim, in hexadecimal.
     constexpr std::size_t fieldCount = 5;
 
     std::optional<std::uint64_t> parseHex(const std::string& text)
--- a/Source/decision/ticket_ledger.cpp
+++ b/Source/decision/ticket_ledger.cpp
@@ -21,26 +21,26 @@
     if (m_rules.foreignNeverRuns && permit.home != m_incarnation) {
         return ticket_state::Foreign;
     }
-    // A time of validity that nobody can have minted would outlive the memory of its run.
+    // A validity beyond that of any minted ticket would outlast the record of its run.
     auto age = uptime(now);
     if (permit.validUntil <= age || permit.validUntil > age + 2 * ticketLifetime) {
         return ticket_state::Expired;
     }
     auto found = m_entries.try_emplace(permit.nonce, entry { ticket_state::Superseded, permit.validUntil, permit.use }).first;
     auto& known = found->second;
-    // The same nonce with a later time must not be forgotten before that time.
+    // The same nonce with a longer validity must be remembered until then.
     known.validUntil = std::max(known.validUntil, permit.validUntil);
     if (known.state != ticket_state::Superseded) {
         return known.state;
     }
-    if (permit.use < known.leastUse) {
-        // The caller is told that nothing has run or will: that has to hold for an attempt with
-        // the later use, too, that may be on its way.
+    if (permit.use < known.minUse) {
+        // The caller is told that the call was not run and never will be. That has to hold for
+        // an attempt with the later use number, too, which may be in transit.
         refused(permit.nonce);
         return known.state;
     }
     known.state = ticket_state::Running;
-    known.leastUse = permit.use;
+    known.minUse = permit.use;
     return ticket_state::Run;
 }
 
@@ -62,7 +62,7 @@
     auto& known = m_entries.at(nonce);
     known.state = ticket_state::Superseded;
     if (m_rules.refusalEndsUse) {
-        ++known.leastUse;
+        ++known.minUse;
     }
 }
 
@@ -85,7 +85,7 @@
 std::uint32_t ticket_ledger::nextUse(std::uint64_t nonce) const
 {
     auto found = m_entries.find(nonce);
-    return found == m_entries.end() ? 0 : found->second.leastUse;
+    return found == m_entries.end() ? 0 : found->second.minUse;
 }
 
 std::vector<std::uint64_t> ticket_ledger::forgetExpired(std::chrono::steady_clock::time_point now)
--- a/Source/decision/ticket_ledger.h
+++ b/Source/decision/ticket_ledger.h
@@ -10,62 +10,63 @@
 
 namespace vanillashunt {
 
-// What a ledger says of a call that comes with a ticket.
+// The state of a ticket in its home's ledger, which decides what becomes of a call with it.
 enum class ticket_state {
-    Run, // Not seen before: it may run now, and only now.
+    Run, // Not claimed yet: this attempt may run now, and no other.
     Running, // An earlier attempt is running or waits to run.
-    Ran, // An earlier attempt ran to its end.
-    Lost, // An earlier attempt may have run, and its answer never came.
-    Superseded, // This use was refused before; the ticket has a later one now.
-    HandedOver, // It never runs here: another ticket, of another home, stands for it.
-    Foreign, // The ticket names another incarnation, so nobody here can know.
-    Expired, // Too old to be remembered, so nobody can know.
+    Ran, // An earlier attempt completed.
+    Lost, // An earlier attempt may have run, but its answer was lost.
+    Superseded, // The call's use number was refused before; only a later one may run.
+    HandedOver, // Never runs here: a ticket for another home replaces it.
+    Foreign, // The ticket names another incarnation, so it is unknown whether it ran.
+    Expired, // No longer remembered, so it is unknown whether it ran.
 };
 
-// The rules that at-most-once rests on. Only tests switch one off, to see that
-// they would notice.
+// The rules that at-most-once execution depends on. Tests disable single rules to check
+// that they detect the resulting violations; they are never disabled otherwise.
 struct ticket_ledger_rules {
-    // A refusal ends the use of the ticket that it refused.
+    // A refusal invalidates the use number that was refused.
     bool refusalEndsUse = true;
     // A ticket of another incarnation never runs.
     bool foreignNeverRuns = true;
-    // A ticket is remembered after its run.
+    // A ticket is remembered after it ran.
     bool remembersRuns = true;
-    // One successor at most stands for a ticket that was handed over.
+    // A ticket that was handed over has one successor at most.
     bool oneSuccessor = true;
 };
 
-// The home's memory of the tickets that it has seen, which makes each
-// non-idempotent call run at most once. It needs no disk: a ticket names one
-// incarnation of one process, and the ledger lives exactly as long.
+// Records the tickets that a home node has seen, so that each non-idempotent call runs at
+// most once. Needs no persistence: a ticket names one incarnation of one process, and the
+// ledger lives as long as that process.
 class ticket_ledger {
 public:
-    // The incarnation that this ledger is for, and when its process started.
+    // The incarnation of this node's process and the time at which the process started.
     ticket_ledger(std::uint64_t incarnation, std::chrono::steady_clock::time_point started, ticket_ledger_rules = {});
 
-    // Claims the ticket for one run if nothing stands against it.
+    // Claims the ticket for one run and returns Run, or returns why it cannot be claimed.
     ticket_state begin(const ticket&, std::chrono::steady_clock::time_point now);
 
-    // Each ends a claim; the ticket cannot be claimed again.
+    // Each of these two ends a claim; the ticket cannot be claimed again.
     void ran(std::uint64_t nonce);
     void lost(std::uint64_t nonce);
-    // For a call that was refused before it ran: ends this use, since an attempt
-    // that is still on its way must not run after the caller was told that it was
-    // not run. Only the next use can be claimed from now on.
+    // Ends the claim of a call that was refused before it ran, and invalidates its use number:
+    // an attempt that is still in transit must not run after the caller was told that the
+    // call was not run. Only the next use number can be claimed from now on.
     void refused(std::uint64_t nonce);
 
-    // For a call that was refused before it ran at a home that can run nothing more: from now
-    // on the successor stands for its ticket, which never runs here. A ticket that was handed
-    // over already keeps its first successor.
+    // For a call that was refused before it ran, at a home that can run no more calls: the
+    // successor replaces its ticket, which never runs here. A ticket that was handed over
+    // already keeps its first successor.
     void handOver(std::uint64_t nonce, const ticket& successor);
 
-    // The ticket that stands for one that was handed over; null for any other.
+    // The ticket that replaces one that was handed over; null for any other ticket.
     const ticket* successor(std::uint64_t nonce) const;
 
-    // The least use that can be claimed; 0 for a nonce that is not known.
+    // The lowest use number that can be claimed; 0 for an unknown nonce.
     std::uint32_t nextUse(std::uint64_t nonce) const;
 
-    // Forgets the tickets that are refused as expired from now on; returns their nonces.
+    // Removes expired tickets that are not running, which begin() rejects from now on. Returns their
+    // nonces.
     std::vector<std::uint64_t> forgetExpired(std::chrono::steady_clock::time_point now);
 
     std::size_t size() const { return m_entries.size(); }
@@ -74,7 +75,7 @@
     struct entry {
         ticket_state state;
         std::chrono::milliseconds validUntil;
-        std::uint32_t leastUse;
+        std::uint32_t minUse;
     };
 
     std::chrono::milliseconds uptime(std::chrono::steady_clock::time_point now) const;
--- a/Source/decision/verdict.cpp
+++ b/Source/decision/verdict.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    constexpr std::array<const char*, 3> executionWords { "not_run", "may_have_run", "ran" };
+    constexpr std::array<const char*, 3> executionNames { "not_run", "may_have_run", "ran" };
 
-    constexpr std::array<const char*, verdictReasonCount> reasonWords {
+    constexpr std::array<const char*, verdictReasonCount> reasonNames {
         "answered", "unknown_service", "unknown_customer", "unknown_class", "malformed", "too_large",
         "overload", "over_share", "deadline_too_short", "deadline_passed", "caller_gone",
         "no_backend_server", "draining", "peer_unreachable", "answer_lost", "backend_unreachable",
@@ -20,18 +20,18 @@
 
 std::string toString(execution value)
 {
-    return executionWords.at(static_cast<std::size_t>(value));
+    return executionNames.at(static_cast<std::size_t>(value));
 }
 
 std::string toString(verdict_reason value)
 {
-    return reasonWords.at(static_cast<std::size_t>(value));
+    return reasonNames.at(static_cast<std::size_t>(value));
 }
 
-std::optional<execution> parseExecution(const std::string& word)
+std::optional<execution> parseExecution(const std::string& name)
 {
-    for (std::size_t index = 0; index < executionWords.size(); ++index) {
-        if (word == executionWords[index]) {
+    for (std::size_t index = 0; index < executionNames.size(); ++index) {
+        if (name == executionNames[index]) {
             return static_cast<execution>(index);
         }
     }
--- a/Source/decision/verdict.h
+++ b/Source/decision/verdict.h
@@ -10,52 +10,52 @@
 // Whether a backend server may have run a request.
 enum class execution : std::uint8_t {
     NotRun, // No backend server has run it, and none will.
-    MayHaveRun, // Nobody can know.
-    Ran, // A backend server ran it, and its answer is at hand.
+    MayHaveRun, // It is unknown whether one has run it or will.
+    Ran, // A backend server ran it.
 };
 
-// Why a request got the verdict that it has.
+// Why a request has its verdict.
 enum class verdict_reason : std::uint8_t {
     Answered, // The backend server answered.
     UnknownService, // No contract or member names the service.
-    UnknownOrganisation, // No contract in force is for the organisation.
+    UnknownOrganisation, // The organisation has no contract in force.
     UnknownClass, // The organisation's contract has no class for the request.
     Malformed, // A header or frame could not be read.
-    TooLarge, // The body is over the bound of the settings.
-    Overload, // Shed by position or by a full queue.
-    OverShare, // The organisation is over its share while others wait.
-    DeadlineTooShort, // It cannot finish in the time that it has left.
-    DeadlinePassed, // Its time ran out.
+    TooLarge, // The body exceeds the size limit of the settings.
+    Overload, // Shed because of its position or a full queue.
+    OverShare, // The organisation exceeds its share while others wait.
+    DeadlineTooShort, // It cannot finish before its deadline.
+    DeadlinePassed, // Its deadline has passed.
     CallerGone, // The caller closed its connection.
-    NoBackendServer, // No member can take it now.
+    NoBackendServer, // No member can take it at present.
     Draining, // The node or its backend server is leaving.
     PeerUnreachable, // No connection to the target's node.
-    AnswerLost, // The connection broke before a whole answer came.
+    AnswerLost, // The connection broke before the answer was complete.
     BackendUnreachable, // No connection to the backend server.
-    BackendRefused, // The backend server refused and said that it did not run it.
-    TicketUnknown, // The ticket names another incarnation, or is out of date.
-    TicketNeeded, // A first attempt is to be repeated with the enclosed ticket.
-    AnswerNotKept, // It ran, and its answer is no longer kept for repeats.
-    NoFreeSlot, // All slots are in use, and the call was not to wait while others may have one.
-    Poison, // Servers have ended under requests of the same content.
-    UnknownKey, // The request has no key of an organisation, and needs one.
-    UnknownParent, // The request that it says it is made for is not running here.
-    OverQuota, // The organisation has had all the requests that it may have now.
+    BackendRefused, // The backend server refused it and reported that it did not run it.
+    TicketUnknown, // The ticket names another incarnation, or has expired.
+    TicketNeeded, // The caller has to repeat the request with the enclosed ticket.
+    AnswerNotKept, // It ran, but its answer is no longer kept for repeats.
+    NoFreeSlot, // All slots are in use, and the call does not wait while other servers may have a free one.
+    Poison, // Servers have ended while running requests with the same content.
+    UnknownKey, // The request needs the API key of an organisation and has none that is known.
+    UnknownParent, // The parent request that it names is not running here.
+    OverQuota, // The organisation has used up its request quota.
 };
 
 constexpr int verdictReasonCount = static_cast<int>(verdict_reason::OverQuota) + 1;
 
-// The word that callers see, for example "not_run".
+// The name on the wire, for example "not_run".
 std::string toString(execution);
 std::string toString(verdict_reason);
-std::optional<execution> parseExecution(const std::string& word);
+std::optional<execution> parseExecution(const std::string& name);
 
-// What is known of a request's execution, why, and when a refused caller is to
-// come back.
+// Whether a request was run, why it was answered that way, and when a refused caller
+// may retry.
 struct verdict {
     execution run = execution::NotRun;
     verdict_reason reason = verdict_reason::Answered;
-    // How long the caller is to wait before it repeats; zero where none is advised.
+    // How long the caller should wait before it retries; zero if no wait is advised.
     std::chrono::milliseconds retryAfter { 0 };
 
     static verdict notRun(verdict_reason, std::chrono::milliseconds retryAfter = {});
--- a/Source/quota/pool_owner_selector.cpp
+++ b/Source/quota/pool_owner_selector.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-    constexpr std::uint32_t mostUnanswered = 2;
-    constexpr std::chrono::milliseconds passOverTime { 2000 };
-    // Nodes that are tried in turn: where so many do not answer, the fault is here.
-    constexpr std::size_t mostPassedOver = 3;
+    constexpr std::uint32_t maxUnanswered = 2;
+    constexpr std::chrono::milliseconds skipTime { 2000 };
+    // If this many nodes in turn do not answer, the fault is assumed to be on this node.
+    constexpr std::size_t maxSkipped = 3;
 
 }
 
@@ -24,28 +24,28 @@
 {
     m_candidates.clear();
     m_byId.clear();
-    for (const auto& each : *members) {
-        if (each.state != member_state::Alive) {
+    for (const auto& candidate : *members) {
+        if (candidate.state != member_state::Alive) {
             continue;
         }
-        m_candidates[each.availabilityZone].push_back(each.id);
-        m_byId[each.id] = each;
+        m_candidates[candidate.availabilityZone].push_back(candidate.id);
+        m_byId[candidate.id] = candidate;
     }
-    for (auto each = m_silent.begin(); each != m_silent.end();) {
-        each = m_byId.count(each->first) == 0 ? m_silent.erase(each) : std::next(each);
+    for (auto position = m_unanswered.begin(); position != m_unanswered.end();) {
+        position = m_byId.count(position->first) == 0 ? m_unanswered.erase(position) : std::next(position);
     }
 }
 
-std::optional<member> pool_owner_selector::of(const std::string& availabilityZone, time_point now) const
+std::optional<member> pool_owner_selector::ownerOf(const std::string& availabilityZone, time_point now) const
 {
     auto found = m_candidates.find(availabilityZone);
     if (found == m_candidates.end()) {
         return std::nullopt;
     }
     auto candidates = found->second;
-    for (std::size_t passedOver = 0; passedOver < mostPassedOver; ++passedOver) {
+    for (std::size_t skipped = 0; skipped < maxSkipped; ++skipped) {
         auto first = rendezvousFirst(candidates);
-        if (!first || !isPassedOver(*first, now)) {
+        if (!first || !isSkipped(*first, now)) {
             return first ? std::optional(m_byId.at(*first)) : std::nullopt;
         }
         candidates.erase(std::find(candidates.begin(), candidates.end(), *first));
@@ -55,7 +55,7 @@
     return isOwn ? std::optional(self->second) : std::nullopt;
 }
 
-std::vector<std::string> pool_owner_selector::zonesBeside(const std::string& availabilityZone) const
+std::vector<std::string> pool_owner_selector::otherZones(const std::string& availabilityZone) const
 {
     std::vector<std::string> result;
     for (const auto& [zone, candidates] : m_candidates) {
@@ -66,24 +66,24 @@
     return result;
 }
 
-bool pool_owner_selector::isPassedOver(std::uint64_t memberId, time_point now) const
+bool pool_owner_selector::isSkipped(std::uint64_t memberId, time_point now) const
 {
-    auto found = m_silent.find(memberId);
-    return found != m_silent.end() && now < found->second.passedOverUntil;
+    auto found = m_unanswered.find(memberId);
+    return found != m_unanswered.end() && now < found->second.skippedUntil;
 }
 
 void pool_owner_selector::unanswered(std::uint64_t memberId, time_point now)
 {
-    auto& entry = m_silent[memberId];
-    if (++entry.inARow >= mostUnanswered) {
-        entry.inARow = 0;
-        entry.passedOverUntil = now + passOverTime;
+    auto& entry = m_unanswered[memberId];
+    if (++entry.consecutive >= maxUnanswered) {
+        entry.consecutive = 0;
+        entry.skippedUntil = now + skipTime;
     }
 }
 
 void pool_owner_selector::answered(std::uint64_t memberId)
 {
-    m_silent.erase(memberId);
+    m_unanswered.erase(memberId);
 }
 
 }
--- a/Source/quota/pool_owner_selector.h
+++ b/Source/quota/pool_owner_selector.h
@@ -11,8 +11,9 @@
 
 namespace vanillashunt {
 
-// Chooses the node whose pool an availability zone uses: the first in rendezvous order of
-// those that answer. Nodes need not agree: what each gives away, it gives to one.
+// Selects the node whose pool an availability zone uses: the first in rendezvous order among
+// those that answer. Nodes need not agree on it, since each gives any part of its share to one
+// pool only.
 class pool_owner_selector {
 public:
     using time_point = std::chrono::steady_clock::time_point;
@@ -21,30 +22,30 @@
 
     void setMembers(const member_list&);
 
-    // The owner for a zone; nothing where nobody of it is known or answers. This node itself
-    // stands in for the others of its own zone.
-    std::optional<member> of(const std::string& availabilityZone, time_point now) const;
+    // The pool owner of a zone; nullopt if no node of the zone is known or answers. In its own
+    // zone, this node is the owner if the others do not answer.
+    std::optional<member> ownerOf(const std::string& availabilityZone, time_point now) const;
 
-    // The other zones of which somebody is known.
-    std::vector<std::string> zonesBeside(const std::string& availabilityZone) const;
+    // The other zones in which nodes are known.
+    std::vector<std::string> otherZones(const std::string& availabilityZone) const;
 
-    // Nothing came back from a node, once; the second time in a row it is passed over for a while.
+    // A node did not answer a message. After two in a row it is skipped for a while.
     void unanswered(std::uint64_t memberId, time_point now);
     void answered(std::uint64_t memberId);
 
 private:
-    struct silence {
-        std::uint32_t inARow = 0;
-        time_point passedOverUntil {};
+    struct response_failures {
+        std::uint32_t consecutive = 0;
+        time_point skippedUntil {};
     };
 
-    bool isPassedOver(std::uint64_t memberId, time_point now) const;
+    bool isSkipped(std::uint64_t memberId, time_point now) const;
 
     std::uint64_t m_selfId;
-    // The nodes of each zone that take new work, by id.
+    // Ids of the nodes that accept new work, by zone.
     std::unordered_map<std::string, std::vector<std::uint64_t>> m_candidates;
     std::unordered_map<std::uint64_t, member> m_byId;
-    std::unordered_map<std::uint64_t, silence> m_silent;
+    std::unordered_map<std::uint64_t, response_failures> m_unanswered;
 };
 
 }
--- a/Source/quota/quota_account.cpp
+++ b/Source/quota/quota_account.cpp
@@ -9,14 +9,15 @@
 
     using std::chrono::milliseconds;
 
-    // A pool in the own zone answers within a millisecond or two, on a slow machine within ten.
+    // A pool in the same zone answers within one or two milliseconds, on a slow machine within ten.
     constexpr milliseconds askTimeout { 60 };
 
-    // Between two asks while the pool has nothing: other zones may have lent it some.
+    // Longest pause between two asks while the pool is empty. Meanwhile other zones may have lent
+    // it some quota.
     constexpr milliseconds longestAskPause { 40 };
 
-    // Advice where the pool said nothing: another node's pool is found by then.
-    constexpr milliseconds returnWithoutPool { 400 };
+    // Advised wait if the pool did not answer; by then another node's pool is used.
+    constexpr milliseconds retryWithoutPool { 400 };
 
 }
 
@@ -60,7 +61,7 @@
         return;
     }
     auto& waiting = m_entries[node.mapped()].waiting;
-    auto found = std::find_if(waiting.begin(), waiting.end(), [requestId](const waiting_request& each) { return each.id == requestId; });
+    auto found = std::find_if(waiting.begin(), waiting.end(), [requestId](const waiting_request& request) { return request.id == requestId; });
     if (found != waiting.end()) {
         waiting.erase(found);
         --m_waiting;
@@ -71,7 +72,7 @@
 {
     auto& known = m_entries[organisation];
     ++known.unused;
-    letThrough(organisation, known, now);
+    admitWaiting(organisation, known, now);
 }
 
 void quota_account::granted(std::uint32_t sequence, const quota_grant& grant, time_point now)
@@ -83,14 +84,14 @@
         known.wait = grant.wait;
         known.nextAsk = now + std::clamp(grant.wait, milliseconds(0), longestAskPause);
     }
-    letThrough(grant.organisation, known, now);
+    admitWaiting(grant.organisation, known, now);
     refuseLate(known, now);
     if (known.sequence == 0 && known.fresh > 0 && !known.waiting.empty() && grant.wait.count() == 0) {
         ask(grant.organisation, known, now);
     }
 }
 
-void quota_account::letThrough(const std::string& organisation, entry& known, time_point now)
+void quota_account::admitWaiting(const std::string& organisation, entry& known, time_point now)
 {
     while (known.unused > 0 && !known.waiting.empty()) {
         auto highest = std::max_element(known.waiting.begin(), known.waiting.end(), [](const auto& a, const auto& b) { return a.position < b.position; });
@@ -104,36 +105,36 @@
     }
 }
 
-// Ends the waits of requests whose turn would not come in time.
+// Refuses waiting requests that cannot be admitted in time.
 void quota_account::refuseLate(entry& known, time_point now)
 {
-    auto soonest = now + known.wait;
+    auto earliestAdmission = now + known.wait;
     std::vector<waiting_request> refused;
-    for (auto each = known.waiting.begin(); each != known.waiting.end();) {
-        if (each->waitUntil > soonest) {
-            ++each;
+    for (auto waiter = known.waiting.begin(); waiter != known.waiting.end();) {
+        if (waiter->waitUntil > earliestAdmission) {
+            ++waiter;
             continue;
         }
-        refused.push_back(std::move(*each));
-        each = known.waiting.erase(each);
+        refused.push_back(std::move(*waiter));
+        waiter = known.waiting.erase(waiter);
     }
-    for (auto& each : refused) {
+    for (auto& request : refused) {
         --m_waiting;
-        m_organisationOf.erase(each.id);
-        each.handler(spread(known.wait), now);
+        m_organisationOf.erase(request.id);
+        request.handler(spread(known.wait), now);
     }
 }
 
-// Who is refused together does not come back together.
+// Randomises the advised wait, so that requests refused together are not retried together.
 milliseconds quota_account::spread(milliseconds wait) const
 {
-    auto least = wait.count() > 0 ? wait : returnWithoutPool;
-    return least + milliseconds(m_hooks.chance(static_cast<std::uint64_t>(least.count()) + 1));
+    auto shortest = wait.count() > 0 ? wait : retryWithoutPool;
+    return shortest + milliseconds(m_hooks.chance(static_cast<std::uint64_t>(shortest.count()) + 1));
 }
 
 void quota_account::tick(time_point now)
 {
-    // Whoever is told may send the next request at once.
+    // Iterates over a copy, because handlers may add requests of new organisations.
     std::vector<std::string> organisations;
     for (const auto& [organisation, known] : m_entries) {
         organisations.push_back(organisation);
--- a/Source/quota/quota_account.h
+++ b/Source/quota/quota_account.h
@@ -14,64 +14,64 @@
 
 namespace vanillashunt {
 
-// Nothing: the request may go on. Otherwise when its sender is to come back.
+// nullopt if the request is admitted; otherwise how long its sender should wait before it retries.
 using quota_refusal = std::optional<std::chrono::milliseconds>;
 using quota_handler = std::function<void(quota_refusal, std::chrono::steady_clock::time_point now)>;
 
-// A request that needs a part of its organisation's quota.
+// A request that counts against its organisation's quota.
 struct quota_request {
     std::string organisation;
-    // Of several that wait the highest goes first.
+    // Among waiting requests, the one with the highest position is admitted first.
     shedding_position position = 0;
-    // Until when it may wait for its organisation's next request to be allowed.
+    // Until when the request may wait for quota.
     std::chrono::steady_clock::time_point waitUntil;
-    // The same where the node has just started, and nothing can be allowed yet.
+    // The same while the node is starting and cannot admit anything yet.
     std::chrono::steady_clock::time_point waitUntilStarted {};
 };
 
 struct quota_account_hooks {
-    // Names the next ask; never 0.
+    // Returns the sequence number for the next ask; never 0.
     std::function<std::uint32_t()> nextSequence;
-    // Asks the zone's pool; whatever comes back is given to granted(), also at once.
+    // Asks the zone's pool. The answer is passed to granted(), possibly before this returns.
     std::function<void(std::uint32_t sequence, const quota_ask&, std::chrono::steady_clock::time_point now)> ask;
-    // Nothing came back.
+    // The ask was not answered in time.
     std::function<void(std::uint32_t sequence, std::chrono::steady_clock::time_point now)> unanswered;
-    // Returns a random number below its argument.
+    // Returns a random number below the bound.
     std::function<std::uint64_t(std::uint64_t bound)> chance;
 };
 
-// The requests of limited organisations that enter at this node: each goes on when the
-// zone's pool has granted it, or is refused.
+// Admits or refuses the requests of limited organisations that enter at this node. A request
+// is admitted when the zone's pool has granted it.
 class quota_account {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
     explicit quota_account(quota_account_hooks);
 
-    // The handler is called exactly once, unless the request is cancelled. Returns 0 where it
-    // was called at once, else what the request goes by until then.
+    // The handler is called exactly once, unless the request is cancelled. Returns 0 if it was
+    // called already, otherwise an id for cancel().
     std::uint64_t take(const quota_request&, quota_handler, time_point now);
 
     void cancel(std::uint64_t requestId);
 
-    // A request that was let through has reached no server.
+    // Returns the quota of a request that was admitted but reached no server.
     void giveBack(const std::string& organisation, time_point now);
 
-    // What the pool gave in answer to the ask; late answers count, too.
+    // The pool's answer to the ask with the sequence number; late answers count, too.
     void granted(std::uint32_t sequence, const quota_grant&, time_point now);
 
-    // Asks again and ends waits.
+    // Repeats asks and refuses requests that cannot be admitted in time.
     void tick(time_point now);
 
-    // Takes what is left over here, for the pool.
+    // Removes and returns all grants that were not used, for the pool.
     std::vector<quota_grant> takeUnused();
 
-    // Forgets what is left over here: a lower limit holds for what was granted before, too.
+    // Discards unused grants, because a lower limit applies to earlier grants, too.
     void configurationChanged(time_point now);
 
     std::size_t waiting() const { return m_waiting; }
     std::size_t waiting(const std::string& organisation) const;
-    // Requests that were let through in the last seconds.
+    // Requests that were admitted in the last seconds.
     std::uint32_t admitted(const std::string& organisation, time_point now) const { return m_admitted.count(organisation, now); }
 
 private:
@@ -82,22 +82,23 @@
         quota_handler handler;
     };
 
-    // What is known of one organisation here.
+    // The state of one organisation.
     struct entry {
         std::vector<waiting_request> waiting;
+        // Grants that were not used yet.
         std::uint32_t unused = 0;
-        // Requests that the pool has not heard of.
+        // Waiting requests that the pool has not been asked for yet.
         std::uint32_t fresh = 0;
-        // The ask that is under way; 0 for none.
+        // Sequence number of the pending ask; 0 if there is none.
         std::uint32_t sequence = 0;
         time_point asked {};
         time_point nextAsk {};
-        // What the pool said last.
+        // The wait that the pool advised last.
         std::chrono::milliseconds wait { 0 };
     };
 
     void ask(const std::string& organisation, entry&, time_point now);
-    void letThrough(const std::string& organisation, entry&, time_point now);
+    void admitWaiting(const std::string& organisation, entry&, time_point now);
     void refuseLate(entry&, time_point now);
     std::chrono::milliseconds spread(std::chrono::milliseconds wait) const;
 
--- a/Source/quota/quota_exchange.cpp
+++ b/Source/quota/quota_exchange.cpp
@@ -10,14 +10,14 @@
     using std::chrono::milliseconds;
     using seconds = std::chrono::duration<double>;
 
-    // A pool that hears of a node so often has all but this much of its part.
+    // How often a node gives its share to the pool, which lacks at limit this much of it.
     constexpr milliseconds accrualPeriod { 200 };
-    // A node that had no pool to give to, or stood still, has lost what is older.
+    // A node that had no pool or was suspended loses any share that is older.
     constexpr seconds longestUnused { 0.4 };
-    // Until a node knows its zone: nobody has had that time.
+    // The same until a node knows its zone: no other node has used that time.
     constexpr seconds longestUnusedAtStart { 0.8 };
     constexpr milliseconds shortagePeriod { 20 };
-    // Zones are a few milliseconds from each other, and regions a hundred.
+    // The round trip takes a few milliseconds between zones, and a hundred between regions.
     constexpr milliseconds answerTimeout { 350 };
 
 }
@@ -25,18 +25,18 @@
 quota_exchange::quota_exchange(quota_settings settings, quota_hooks hooks, time_point started)
     : m_settings(std::move(settings))
     , m_hooks(std::move(hooks))
-    , m_census(m_settings.availabilityZone, started)
-    , m_owners(m_settings.selfId)
+    , m_nodeCounter(m_settings.availabilityZone, started)
+    , m_poolOwners(m_settings.selfId)
     , m_pool(m_settings.tolerance)
     , m_account(accountHooks())
-    , m_measured(started)
+    , m_lastAccrual(started)
 {
 }
 
 std::uint64_t quota_exchange::take(const quota_request& request, quota_handler handler, time_point now)
 {
     auto waiting = request;
-    if (!m_census.count(now)) {
+    if (!m_nodeCounter.count(now)) {
         waiting.waitUntil = std::max(request.waitUntil, request.waitUntilStarted);
     }
     return m_account.take(waiting, std::move(handler), now);
@@ -44,7 +44,7 @@
 
 std::optional<member> quota_exchange::owner(time_point now) const
 {
-    auto found = m_owners.of(m_settings.availabilityZone, now);
+    auto found = m_poolOwners.ownerOf(m_settings.availabilityZone, now);
     return found && found->id != m_settings.selfId ? found : std::nullopt;
 }
 
@@ -56,7 +56,7 @@
     hooks.unanswered = [this](std::uint32_t sequence, time_point now) {
         if (auto node = m_pending.extract(sequence)) {
             ++m_counts.unanswered;
-            m_owners.unanswered(node.mapped().memberId, now);
+            m_poolOwners.unanswered(node.mapped().memberId, now);
         }
     };
     hooks.chance = m_hooks.chance;
@@ -72,12 +72,12 @@
 void quota_exchange::setConfiguration(const route_configuration& configuration, time_point now)
 {
     m_quotas.clear();
-    for (const auto& each : configuration.organisations) {
-        if (each.quota.isLimited()) {
-            m_quotas[each.name] = each.quota;
+    for (const auto& configured : configuration.organisations) {
+        if (configured.quota.isLimited()) {
+            m_quotas[configured.name] = configured.quota;
         }
     }
-    m_isNeeded = !m_quotas.empty();
+    m_hasLimits = !m_quotas.empty();
     m_pool.setQuotas(m_quotas);
     m_account.configurationChanged(now);
 }
@@ -97,8 +97,8 @@
 
 void quota_exchange::setMembers(const member_list& members, time_point now)
 {
-    m_census.setMembers(members, now);
-    m_owners.setMembers(members);
+    m_nodeCounter.setMembers(members, now);
+    m_poolOwners.setMembers(members);
 }
 
 void quota_exchange::ask(std::uint32_t sequence, const quota_ask& asked, time_point now)
@@ -106,7 +106,7 @@
     ++m_counts.asks;
     auto poolOwner = owner(now);
     if (!poolOwner) {
-        measure(now);
+        accrueShare(now);
         m_account.granted(sequence, m_pool.take(asked, now), now);
         askOtherZones(now);
         return;
@@ -161,7 +161,7 @@
     if (!node) {
         return;
     }
-    m_owners.answered(node.mapped().memberId);
+    m_poolOwners.answered(node.mapped().memberId);
     for (const auto& grant : message.grants) {
         if (node.mapped().use == purpose::Account) {
             m_account.granted(message.sequence, grant, now);
@@ -172,14 +172,14 @@
     }
 }
 
-// Notes the time that has passed as this node's to give.
-void quota_exchange::measure(time_point now)
+// Accrues this node's share for the time that has passed.
+void quota_exchange::accrueShare(time_point now)
 {
-    auto count = m_census.count(now);
+    auto count = m_nodeCounter.count(now);
     m_share = count ? 1.0 / static_cast<double>(m_settings.zones * *count) : 0;
-    auto most = count ? std::max(m_unused, longestUnused) : longestUnusedAtStart;
-    m_unused = std::min<seconds>(m_unused + (now - m_measured), most);
-    m_measured = now;
+    auto limit = count ? std::max(m_unused, longestUnused) : longestUnusedAtStart;
+    m_unused = std::min<seconds>(m_unused + (now - m_lastAccrual), limit);
+    m_lastAccrual = now;
     if (count && !owner(now)) {
         m_pool.accrue({ m_settings.selfId, m_share, std::exchange(m_unused, seconds(0)) }, now);
     }
@@ -197,8 +197,8 @@
     auto unused = m_account.takeUnused();
     auto poolOwner = owner(now);
     if (!poolOwner) {
-        for (const auto& each : unused) {
-            m_pool.put(each, now);
+        for (const auto& grant : unused) {
+            m_pool.put(grant, now);
         }
         return;
     }
@@ -217,14 +217,14 @@
         return;
     }
     m_nextShortage = now + shortagePeriod;
-    auto zones = m_owners.zonesBeside(m_settings.availabilityZone);
+    auto zones = m_poolOwners.otherZones(m_settings.availabilityZone);
     auto shortages = m_pool.shortages(zones.size(), now);
     if (shortages.empty()) {
         return;
     }
     shortages.resize(std::min(shortages.size(), maxQuotaEntries));
     for (const auto& zone : zones) {
-        auto poolOwner = m_owners.of(zone, now);
+        auto poolOwner = m_poolOwners.ownerOf(zone, now);
         if (!poolOwner) {
             continue;
         }
@@ -237,28 +237,28 @@
     }
 }
 
-void quota_exchange::giveUpPending(time_point now)
+void quota_exchange::expirePending(time_point now)
 {
-    for (auto each = m_pending.begin(); each != m_pending.end();) {
-        if (now - each->second.sent < answerTimeout) {
-            ++each;
+    for (auto position = m_pending.begin(); position != m_pending.end();) {
+        if (now - position->second.sent < answerTimeout) {
+            ++position;
             continue;
         }
         ++m_counts.unanswered;
-        m_owners.unanswered(each->second.memberId, now);
-        each = m_pending.erase(each);
+        m_poolOwners.unanswered(position->second.memberId, now);
+        position = m_pending.erase(position);
     }
 }
 
 void quota_exchange::tick(time_point now)
 {
-    if (!m_isNeeded) {
+    if (!m_hasLimits) {
         return;
     }
-    measure(now);
+    accrueShare(now);
     giveToPool(now);
     askOtherZones(now);
-    giveUpPending(now);
+    expirePending(now);
     m_account.tick(now);
 }
 
--- a/Source/quota/quota_message.h
+++ b/Source/quota/quota_message.h
@@ -9,15 +9,15 @@
 
 namespace vanillashunt {
 
-// Organisations that one message asks for or gives to, at most: it is one datagram.
+// Maximum number of organisations in a message, so that it fits one datagram.
 constexpr std::size_t maxQuotaEntries = 32;
 
 enum class quota_kind : std::uint8_t {
-    // A node gives its pool what it has not used.
+    // Gives a node's share and its unused grants to the pool.
     Accrual = 1,
-    // Asks a pool for requests.
+    // Asks a pool for quota.
     Ask,
-    // Answers either.
+    // Answers either of the others.
     Grant,
 };
 
@@ -27,12 +27,12 @@
     std::uint64_t senderId = 0;
     // Echoed by the answer.
     std::uint32_t sequence = 0;
-    // Accrual: what is given beside the unused requests among the grants.
+    // Accrual: the node's share. The grants are those that it has not used.
     quota_accrual accrual;
-    // Ask: whether one pool asks another.
+    // Ask: whether the sender is the pool of another zone.
     bool isFromPool = false;
     std::vector<quota_ask> asks;
-    // Accrual and Grant.
+    // Accrual: unused grants; Grant: the answers to the asks.
     std::vector<quota_grant> grants;
 };
 
--- a/Source/quota/quota_pool.cpp
+++ b/Source/quota/quota_pool.cpp
@@ -10,29 +10,30 @@
     using std::chrono::milliseconds;
     using seconds = std::chrono::duration<double>;
 
-    // A node that was not heard of for so long has another pool.
-    constexpr milliseconds lenderMemory { 1000 };
-    constexpr milliseconds lenderCountPeriod { 100 };
+    // A node that gave nothing for this long is assumed to use another pool.
+    constexpr milliseconds contributorTimeout { 1000 };
+    constexpr milliseconds shareUpdatePeriod { 100 };
 
-    // For how long nodes hold what they have not given away or used: at most so much of a
-    // limit is with them, and not in the pool.
+    // How long nodes hold quota that they have neither given away nor used. At most this much of
+    // a limit is held by nodes instead of the pool.
     constexpr seconds heldByNodes { 0.4 };
 
-    // Part of the slack that pools may hold; the rest is for what no node can know.
-    constexpr double spentPartOfSlack = 0.5;
+    // Fraction of the slack that pools may hold; the rest covers requests that no node can know of.
+    constexpr double pooledSlackFraction = 0.5;
 
-    // Over which refusals are remembered.
-    constexpr seconds unmetMemory { 1 };
-    // Between two words to the other zones on one organisation.
+    // Time constant with which the count of unmet requests decays.
+    constexpr seconds unmetDecayTime { 1 };
+    // Time between two asks to the other zones for one organisation.
     constexpr milliseconds shortagePeriod { 40 };
-    // An organisation is short while some of its requests were refused so lately.
-    constexpr milliseconds shortMemory { 200 };
-    // Less than this is no shortage.
-    constexpr double leastUnmet = 0.5;
+    // An organisation counts as short for this long after requests could not be granted.
+    constexpr milliseconds shortageTime { 200 };
+    // Fewer unmet requests do not count as a shortage.
+    constexpr double minUnmet = 0.5;
 
-    // The other zones' pools answer within this; what they said is not asked again for a while.
+    // The pools of other zones answer within the first time. If they lent nothing, they are not
+    // expected to lend within the second either.
     constexpr milliseconds borrowTime { 20 };
-    constexpr milliseconds borrowMemory { 300 };
+    constexpr milliseconds borrowPause { 300 };
 
     constexpr milliseconds shortestWait { 10 };
     constexpr milliseconds startingWait { 150 };
@@ -47,8 +48,8 @@
 
 void quota_pool::setQuotas(const quota_table& quotas)
 {
-    for (auto each = m_buckets.begin(); each != m_buckets.end();) {
-        each = quotas.count(each->first) == 0 ? m_buckets.erase(each) : std::next(each);
+    for (auto position = m_buckets.begin(); position != m_buckets.end();) {
+        position = quotas.count(position->first) == 0 ? m_buckets.erase(position) : std::next(position);
     }
     for (const auto& [organisation, quota] : quotas) {
         auto [found, isNew] = m_buckets.try_emplace(organisation);
@@ -57,45 +58,46 @@
             entry.supplied = m_supply;
         }
         entry.quota = quota;
-        entry.tokens = std::min(entry.tokens, capOf(entry));
+        entry.tokens = std::min(entry.tokens, capacityOf(entry));
     }
 }
 
-// The limit's burst, less what nodes hold beyond what is tolerated, in proportion to the nodes
-// whose pool this is. Less than one would never become a whole request.
-double quota_pool::capOf(const bucket& entry) const
+// The maximum number of tokens: the limit's burst, less what nodes hold beyond the tolerance, in
+// proportion to the share of the nodes that use this pool. It is at least 1, since a lower maximum
+// would never admit a request.
+double quota_pool::capacityOf(const bucket& entry) const
 {
     if (m_share <= 0) {
         return 0;
     }
     const auto& [rate, burst] = entry.quota;
-    auto tolerated = m_tolerance.part * (rate * m_tolerance.window.count() + burst);
+    auto tolerated = m_tolerance.fraction * (rate * m_tolerance.window.count() + burst);
     auto held = std::max(0.0, rate * heldByNodes.count() - tolerated);
-    auto depth = std::max(0.0, burst - held) + spentPartOfSlack * m_tolerance.slack;
-    return std::max(1.0, depth * m_share);
+    auto capacity = std::max(0.0, burst - held) + pooledSlackFraction * m_tolerance.slack;
+    return std::max(1.0, capacity * m_share);
 }
 
-double quota_pool::shareNow(time_point now)
+double quota_pool::updateShare(time_point now)
 {
-    if (now - m_lendersCounted < lenderCountPeriod) {
+    if (now - m_shareUpdated < shareUpdatePeriod) {
         return m_share;
     }
-    m_lendersCounted = now;
+    m_shareUpdated = now;
     m_share = 0;
-    for (auto each = m_lenders.begin(); each != m_lenders.end();) {
-        if (now - each->second.heard > lenderMemory) {
-            each = m_lenders.erase(each);
+    for (auto position = m_contributors.begin(); position != m_contributors.end();) {
+        if (now - position->second.lastAccrual > contributorTimeout) {
+            position = m_contributors.erase(position);
             continue;
         }
-        m_share += each->second.share;
-        ++each;
+        m_share += position->second.share;
+        ++position;
     }
     return m_share;
 }
 
 void quota_pool::accrue(const quota_accrual& accrual, time_point now)
 {
-    auto& entry = m_lenders[accrual.node];
+    auto& entry = m_contributors[accrual.node];
     m_share += accrual.share - entry.share;
     entry = { accrual.share, now };
     m_supply += accrual.share * accrual.time.count();
@@ -107,11 +109,11 @@
     if (found == m_buckets.end()) {
         return nullptr;
     }
-    shareNow(now);
+    updateShare(now);
     auto& entry = found->second;
     entry.tokens += entry.quota.ratePerSecond * (m_supply - entry.supplied);
     entry.supplied = m_supply;
-    entry.tokens = std::min(entry.tokens, capOf(entry));
+    entry.tokens = std::min(entry.tokens, capacityOf(entry));
     return &entry;
 }
 
@@ -127,7 +129,7 @@
         return { ask.organisation, given };
     }
     auto missing = ask.count - given;
-    noteUnmet(*entry, std::min(ask.fresh, missing), now);
+    addUnmet(*entry, std::min(ask.fresh, missing), now);
     return { ask.organisation, given, waitFor(*entry, missing, now) };
 }
 
@@ -146,15 +148,15 @@
 void quota_pool::put(const quota_grant& grant, time_point now)
 {
     if (auto* entry = refill(grant.organisation, now)) {
-        entry->tokens = std::min(entry->tokens + grant.count, std::max(entry->tokens, capOf(*entry)));
+        entry->tokens = std::min(entry->tokens + grant.count, std::max(entry->tokens, capacityOf(*entry)));
     }
 }
 
-void quota_pool::noteUnmet(bucket& entry, double count, time_point now)
+void quota_pool::addUnmet(bucket& entry, double count, time_point now)
 {
-    auto fade = std::exp(-(seconds(now - entry.unmetNoted) / unmetMemory));
-    entry.unmet = entry.unmet * fade + count;
-    entry.unmetNoted = now;
+    auto decay = std::exp(-(seconds(now - entry.unmetUpdated) / unmetDecayTime));
+    entry.unmet = entry.unmet * decay + count;
+    entry.unmetUpdated = now;
 }
 
 void quota_pool::borrowed(const quota_grant& grant, time_point now)
@@ -167,14 +169,14 @@
     put(grant, now);
 }
 
-// Whether other zones may still answer, or have just given some.
+// Whether other zones may still answer or have lent quota recently.
 bool quota_pool::mayBorrow(const bucket& entry, time_point now)
 {
     auto sinceAsked = now - entry.othersAsked;
-    return sinceAsked < borrowTime || sinceAsked > borrowMemory || now - entry.othersLent < borrowMemory / 2;
+    return sinceAsked < borrowTime || sinceAsked > borrowPause || now - entry.othersLent < borrowPause / 2;
 }
 
-// What was refused before comes back, too, and earlier.
+// Includes requests that were refused before, since they are retried earlier.
 milliseconds quota_pool::waitFor(const bucket& entry, std::uint32_t count, time_point now) const
 {
     if (mayBorrow(entry, now)) {
@@ -182,7 +184,7 @@
     }
     auto rate = entry.quota.ratePerSecond * m_share;
     if (rate <= 0) {
-        // Its nodes have just started.
+        // The nodes that use this pool have just started.
         return startingWait;
     }
     auto missing = std::max(entry.unmet, static_cast<double>(count)) - entry.tokens;
@@ -192,7 +194,7 @@
 
 bool quota_pool::isShort(const bucket& entry, time_point now)
 {
-    return entry.unmet >= leastUnmet && now - entry.unmetNoted < shortMemory;
+    return entry.unmet >= minUnmet && now - entry.unmetUpdated < shortageTime;
 }
 
 std::vector<quota_ask> quota_pool::shortages(std::size_t otherZones, time_point now)
@@ -205,13 +207,13 @@
         if (!isShort(entry, now) || now < entry.nextShortage) {
             continue;
         }
-        // More than fits would be lost.
-        auto count = std::min(entry.unmet, capOf(entry) - entry.tokens) / static_cast<double>(otherZones);
+        // Quota beyond the capacity would be lost.
+        auto count = std::min(entry.unmet, capacityOf(entry) - entry.tokens) / static_cast<double>(otherZones);
         if (count <= 0) {
             continue;
         }
         entry.nextShortage = now + shortagePeriod;
-        if (now - entry.othersAsked > borrowMemory) {
+        if (now - entry.othersAsked > borrowPause) {
             entry.othersAsked = now;
         }
         auto whole = static_cast<std::uint32_t>(std::ceil(count));
--- a/Source/quota/quota_pool.h
+++ b/Source/quota/quota_pool.h
@@ -10,114 +10,118 @@
 
 namespace vanillashunt {
 
-// Requests of one organisation that are asked for.
+// Asks for quota for requests of one organisation.
 struct quota_ask {
     std::string organisation;
     std::uint32_t count = 0;
-    // Those among them that were not asked for before.
+    // How many of them are asked for the first time.
     std::uint32_t fresh = 0;
 };
 
-// Requests of one organisation that are given.
+// Grants quota for requests of one organisation.
 struct quota_grant {
     std::string organisation;
     std::uint32_t count = 0;
-    // When more can be had, where it is less than was asked for.
+    // When more is expected, if less was granted than asked for.
     std::chrono::milliseconds wait { 0 };
 };
 
 using quota_table = std::unordered_map<std::string, organisation_quota>;
 
-// What all nodes together may let through beyond a limit, since no node knows all: in any
-// window this part of what the limit allows in it, and so many requests.
+// By how much all nodes together may exceed a limit, since no node knows of all requests: in any
+// window, by this fraction of what the limit allows there plus the slack.
 struct quota_tolerance {
-    double part = 0;
+    double fraction = 0;
     std::chrono::duration<double> window { 0 };
+    // Number of requests.
     double slack = 0;
 };
 
-// What a node gives away: its part of every limit, for a time that has passed.
+// What a node gives to a pool: its share of every limit, for a time that has passed.
 struct quota_accrual {
-    // The node; a random number of one start.
+    // The incarnation of the node.
     std::uint64_t node = 0;
-    // Its part of all nodes' limits, from 0 to 1.
+    // Its share of every limit, from 0 to 1.
     double share = 0;
-    // The time that it has not used itself.
+    // The time for which the share has accrued.
     std::chrono::duration<double> time { 0 };
 };
 
-// The requests that the organisations may have now, gathered at one node of an availability
-// zone from the parts of its nodes, and given to whichever of them has requests.
+// The quota that is available to the organisations in one availability zone. One node of the zone
+// collects the shares of all its nodes and grants them to the nodes that have requests.
 //
-// Only what has passed is given away, once, to one pool: whatever a node believes of the
-// others, cut off, frozen or doubled, the pools together never have more than the limits
-// allow. A pool that ends loses what it had, and nobody else has to know.
+// A node gives away only shares that have accrued, each once, to one pool. Therefore all pools
+// together never hold more than the limits allow, even if nodes have wrong views of each other,
+// are partitioned or suspended, or run twice. A pool whose node ends loses its content, which no
+// other node has to know.
 class quota_pool {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
     explicit quota_pool(const quota_tolerance&);
 
-    // Limits by organisation; in force at once, also for what was gathered before.
+    // Sets the limits by organisation. They apply at once, also to quota collected before.
     void setQuotas(const quota_table&);
 
+    // Adds a node's share.
     void accrue(const quota_accrual&, time_point now);
 
-    // Gives as many as there are, up to the count.
+    // Grants as much as is available, up to the count.
     quota_grant take(const quota_ask&, time_point now);
 
-    // The same for the pool of another zone, which gets half of what is there, unless it is
-    // short here, too.
+    // The same for the pool of another zone, which gets at most half of what is available, and
+    // nothing if this pool runs short, too.
     quota_grant lend(const quota_ask&, time_point now);
 
-    // From a node that did not use it.
+    // Takes back a grant that a node did not use.
     void put(const quota_grant&, time_point now);
 
-    // From another zone's pool, which may have had nothing.
+    // Adds a grant of another zone's pool, which may be empty.
     void borrowed(const quota_grant&, time_point now);
 
-    // What was asked for in vain lately, and other zones may have; of each organisation now
-    // and then only. The counts are what each of the other zones is to be asked for.
+    // What to ask the pools of the other zones for: quota that could not be granted recently.
+    // Lists each organisation only once per period. The counts are to be asked of each zone.
     std::vector<quota_ask> shortages(std::size_t otherZones, time_point now);
 
-    // What there is of an organisation's now.
+    // Number of requests that the organisation may make now.
     double available(const std::string& organisation, time_point now);
 
 private:
     struct bucket {
         organisation_quota quota;
         double tokens = 0;
-        // Of the pool's supply, what has come into the tokens.
+        // The part of the pool's supply that has been added to the tokens.
         double supplied = 0;
-        // Requests that were not given lately, the latest counting most.
+        // Requests that were asked for but not granted, decaying exponentially.
         double unmet = 0;
-        time_point unmetNoted {};
+        time_point unmetUpdated {};
         time_point nextShortage {};
-        // When other zones were first asked after a while without, and last lent some.
+        // When other zones were first asked after a pause, and when one last lent quota.
         time_point othersAsked {};
         time_point othersLent {};
     };
 
-    struct lender {
+    // A node that gives its share to this pool.
+    struct contributor {
         double share = 0;
-        time_point heard {};
+        time_point lastAccrual {};
     };
 
     bucket* refill(const std::string& organisation, time_point now);
-    double capOf(const bucket&) const;
-    double shareNow(time_point now);
+    double capacityOf(const bucket&) const;
+    double updateShare(time_point now);
     static bool isShort(const bucket&, time_point now);
-    static void noteUnmet(bucket&, double count, time_point now);
+    static void addUnmet(bucket&, double count, time_point now);
     static bool mayBorrow(const bucket&, time_point now);
     std::chrono::milliseconds waitFor(const bucket&, std::uint32_t count, time_point now) const;
 
     quota_tolerance m_tolerance;
     std::unordered_map<std::string, bucket> m_buckets;
-    std::unordered_map<std::uint64_t, lender> m_lenders;
-    // Sum of the lenders' parts.
+    std::unordered_map<std::uint64_t, contributor> m_contributors;
+    // Sum of the contributors' shares.
     double m_share = 0;
-    time_point m_lendersCounted {};
-    // All time that was given, each node's weighted by its part; in seconds.
+    time_point m_shareUpdated {};
+    // Sum of all accrued times, weighted by the nodes' shares; in seconds.
     double m_supply = 0;
 };
 
--- a/Source/quota/recent_admissions.cpp
+++ b/Source/quota/recent_admissions.cpp
@@ -15,8 +15,8 @@
 
 void recent_admissions::forgetIdle(time_point now)
 {
-    for (auto each = m_entries.begin(); each != m_entries.end();) {
-        each = each->second.sum(now) == 0 ? m_entries.erase(each) : std::next(each);
+    for (auto position = m_entries.begin(); position != m_entries.end();) {
+        position = position->second.sum(now) == 0 ? m_entries.erase(position) : std::next(position);
     }
 }
 
--- a/Source/quota/recent_admissions.h
+++ b/Source/quota/recent_admissions.h
@@ -9,20 +9,20 @@
 
 namespace vanillashunt {
 
-// The requests of each organisation that a node let through lately, for operators.
+// Counts the requests of each organisation that this node admitted recently, for operators.
 class recent_admissions {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // Over which requests are counted, but for the part of it that is just ending.
+    // Requests are counted over this time, except for the oldest part of it, which is just ending.
     static constexpr std::chrono::milliseconds window { 5000 };
 
     void add(const std::string& organisation, time_point now);
 
-    // 0 for one that had none.
+    // 0 for an organisation without admissions.
     std::uint32_t count(const std::string& organisation, time_point now) const;
 
-    // Forgets organisations that had none lately.
+    // Removes organisations without recent admissions.
     void forgetIdle(time_point now);
 
 private:
--- a/Source/quota/zone_node_counter.h
+++ b/Source/quota/zone_node_counter.h
@@ -12,34 +12,34 @@
 namespace vanillashunt {
 
 // Counts the nodes of this availability zone that may be running, whether or not this node
-// reaches them: what each may do alone is divided by the count, so that their sum is never
-// too much. A node that fell silent may be cut off and at work; one that left on purpose, or
-// whose name a newer process has, is not.
+// reaches them. Each node's share is divided by the count, so that the sum of the shares never
+// exceeds the whole. A node that fell silent may be running behind a network partition; one that
+// left on purpose, or whose name was taken over by a newer process, is not running.
 class zone_node_counter {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // The time is when the process started.
+    // started: when the process started.
     zone_node_counter(std::string availabilityZone, time_point started);
 
     void setMembers(const member_list&, time_point now);
 
-    // Nothing while this node does not know its zone yet: it has just started, or still hears
-    // of nodes.
+    // nullopt while this node does not know its zone yet, because it has just started or is still
+    // learning of new nodes.
     std::optional<std::size_t> count(time_point now) const;
 
 private:
-    // What is known of whoever goes by a name.
-    struct place {
+    // The node that has, or had last, a given name.
+    struct named_node {
         member_state state = member_state::Alive;
-        // Since when nobody does; nothing while somebody does.
-        std::optional<time_point> vacant;
+        // Since when no member has the name; nullopt while one has it.
+        std::optional<time_point> absentSince;
     };
 
     std::string m_zone;
     time_point m_started;
-    time_point m_lastGrown;
-    std::map<std::string, place> m_places;
+    time_point m_lastJoined;
+    std::map<std::string, named_node> m_nodes;
 };
 
 }
--- a/Tests/AtMostOnce/at_most_once_test.cpp
+++ b/Tests/AtMostOnce/at_most_once_test.cpp
@@ -12,8 +12,8 @@
 
     using time_point = std::chrono::steady_clock::time_point;
 
-    // An attempt that its caller's node counts as lost, and that may arrive yet.
-    struct delayed_frame {
+    // An attempt that the caller's node considers lost, but that may still arrive.
+    struct delayed_attempt {
         ticket permit;
         std::size_t home;
     };
@@ -23,8 +23,8 @@
         ticket_ledger ledger;
     };
 
-    // One non-idempotent request through a schedule of losses, delays, refusals,
-    // restarts and repeats through other nodes.
+    // Runs one non-idempotent request through a random schedule of losses, delays, refusals,
+    // restarts and repeats at other nodes.
     class schedule {
     public:
         schedule(std::uint64_t seed, ticket_ledger_rules rules, bool homesLeave)
@@ -37,36 +37,36 @@
             }
         }
 
-        // Returns what broke; empty if nothing did.
-        std::string play()
+        // Returns the first violation; empty if there is none.
+        std::string execute()
         {
-            std::optional<ticket> brought;
+            std::optional<ticket> callerPermit;
             bool mayHaveRun = false;
             if (m_homesLeave) {
-                brought = m_claimed = mintFor(m_random() % m_homes.size());
+                callerPermit = m_claimed = mintFor(m_random() % m_homes.size());
             }
-            for (int tries = 0; tries < 6 && m_problem.empty(); ++tries) {
+            for (int tries = 0; tries < 6 && m_violation.empty(); ++tries) {
                 call_progress progress(false, 2, mayHaveRun);
-                if (brought) {
-                    progress.setPermit(*brought, permit_origin::Received);
+                if (callerPermit) {
+                    progress.setPermit(*callerPermit, permit_origin::Received);
                 }
-                auto run = playTry(progress);
-                if (run == execution::Ran) {
+                auto reported = runTry(progress);
+                if (reported == execution::Ran) {
                     break;
                 }
-                if (run == execution::NotRun) {
+                if (reported == execution::NotRun) {
                     check(m_runs == 0, "told not run after it ran");
-                    m_forbiddenSince = m_runs;
+                    m_runsWhenToldNotRun = m_runs;
                 }
-                mayHaveRun = run == execution::MayHaveRun;
-                // A repeat with nothing but its key gets the ticket that its claim names.
-                brought = m_homesLeave && chance(0.5) ? m_claimed : progress.permit();
-                // What is still on its way may arrive before the caller asks again.
-                deliverSome(run == execution::NotRun);
+                mayHaveRun = reported == execution::MayHaveRun;
+                // A repeat that carries only its idempotency key gets the ticket that its claim names.
+                callerPermit = m_homesLeave && chance(0.5) ? m_claimed : progress.permit();
+                // Delayed attempts may arrive before the caller repeats the request.
+                deliverSome(reported == execution::NotRun);
             }
             deliverSome(false);
             check(m_runs <= 1, "ran twice");
-            return m_problem;
+            return m_violation;
         }
 
     private:
@@ -86,14 +86,14 @@
 
         bool chance(double probability) { return std::bernoulli_distribution(probability)(m_random); }
 
-        void check(bool holds, const std::string& what)
+        void check(bool holds, const std::string& violation)
         {
-            if (!holds && m_problem.empty()) {
-                m_problem = what;
+            if (!holds && m_violation.empty()) {
+                m_violation = violation;
             }
         }
 
-        execution playTry(call_progress& progress)
+        execution runTry(call_progress& progress)
         {
             if (progress.mustNotRun()) {
                 return execution::MayHaveRun;
@@ -117,7 +117,7 @@
             }
         }
 
-        // The home of the ticket, by a view of the members that may be behind.
+        // The home of the ticket, by a view of the members that may be outdated.
         std::size_t targetOf(const call_progress& progress)
         {
             if (!progress.permit()) {
@@ -128,7 +128,7 @@
                     return i;
                 }
             }
-            // A restarted home may still be called by its old identity.
+            // A restarted home may still be called under its old incarnation.
             return chance(0.5) ? m_random() % m_homes.size() : m_homes.size();
         }
 
@@ -139,7 +139,7 @@
             }
             if (chance(0.3)) {
                 m_delayed.push_back({ permit, home });
-                maybeRestart();
+                restartSometimes();
                 return { verdict::mayHaveRun(verdict_reason::AnswerLost), 0, 0, false };
             }
             auto result = arrive(permit, home);
@@ -149,7 +149,7 @@
             return result;
         }
 
-        void maybeRestart()
+        void restartSometimes()
         {
             if (chance(0.1)) {
                 m_homes[m_random() % m_homes.size()] = newHome();
@@ -197,31 +197,31 @@
                 arrive(m_delayed.back().permit, m_delayed.back().home);
                 m_delayed.pop_back();
             }
-            check(!toldNotRun || m_runs == m_forbiddenSince, "ran after its caller was told that it was not run");
+            check(!toldNotRun || m_runs == m_runsWhenToldNotRun, "ran after its caller was told that it was not run");
         }
 
         std::mt19937_64 m_random;
         ticket_ledger_rules m_rules;
-        // Homes hand over what they refuse, and callers repeat with their keys.
+        // Homes hand over the tickets of refused calls, and callers repeat with their idempotency keys.
         bool m_homesLeave;
         std::optional<ticket> m_claimed;
         time_point m_now;
         std::vector<home_node> m_homes;
-        std::vector<delayed_frame> m_delayed;
+        std::vector<delayed_attempt> m_delayed;
         int m_runs = 0;
-        int m_forbiddenSince = 0;
-        std::string m_problem;
+        int m_runsWhenToldNotRun = 0;
+        std::string m_violation;
     };
 
-    constexpr std::uint64_t schedules = 20000;
+    constexpr std::uint64_t scheduleCount = 20000;
 
-    // The first problem of many schedules; empty if none has one.
-    std::string firstProblem(ticket_ledger_rules rules, bool homesLeave = false)
+    // The first violation in any of the schedules; empty if there is none.
+    std::string firstViolation(ticket_ledger_rules rules, bool homesLeave = false)
     {
-        for (std::uint64_t seed = 1; seed <= schedules; ++seed) {
-            auto problem = schedule(seed, rules, homesLeave).play();
-            if (!problem.empty()) {
-                return problem + " (seed " + std::to_string(seed) + ")";
+        for (std::uint64_t seed = 1; seed <= scheduleCount; ++seed) {
+            auto violation = schedule(seed, rules, homesLeave).execute();
+            if (!violation.empty()) {
+                return violation + " (seed " + std::to_string(seed) + ")";
             }
         }
         return {};
@@ -231,40 +231,40 @@
 
 TEST(AtMostOnce, HoldsUnderLossDelayRestartAndRepeats)
 {
-    EXPECT_EQ(firstProblem({}), "");
+    EXPECT_EQ(firstViolation({}), "");
 }
 
 TEST(AtMostOnce, BreaksIfARefusalDoesNotEndTheUse)
 {
     ticket_ledger_rules rules;
     rules.refusalEndsUse = false;
-    EXPECT_NE(firstProblem(rules), "");
+    EXPECT_NE(firstViolation(rules), "");
 }
 
 TEST(AtMostOnce, BreaksIfAForeignTicketRuns)
 {
     ticket_ledger_rules rules;
     rules.foreignNeverRuns = false;
-    EXPECT_NE(firstProblem(rules), "");
+    EXPECT_NE(firstViolation(rules), "");
 }
 
 TEST(AtMostOnce, BreaksIfRunsAreForgotten)
 {
     ticket_ledger_rules rules;
     rules.remembersRuns = false;
-    EXPECT_NE(firstProblem(rules), "");
+    EXPECT_NE(firstViolation(rules), "");
 }
 
 TEST(AtMostOnce, HoldsWhileHomesLeaveAndHandOver)
 {
-    EXPECT_EQ(firstProblem({}, true), "");
+    EXPECT_EQ(firstViolation({}, true), "");
 }
 
 TEST(AtMostOnce, BreaksIfATicketHasTwoSuccessors)
 {
     ticket_ledger_rules rules;
     rules.oneSuccessor = false;
-    EXPECT_NE(firstProblem(rules, true), "");
+    EXPECT_NE(firstViolation(rules, true), "");
 }
 
 TEST(AtMostOnce, ATicketThatWasHandedOverNeverRunsAtItsHome)
@@ -284,7 +284,7 @@
     EXPECT_EQ(ledger.successor(1), nullptr);
 }
 
-TEST(AtMostOnce, AnExpiredTicketIsNeitherRunNorCalledUnrun)
+TEST(AtMostOnce, AnExpiredTicketIsNeitherRunNorReportedAsNotRun)
 {
     time_point start;
     ticket_ledger ledger(7, start);
@@ -292,7 +292,7 @@
     EXPECT_EQ(ledger.begin(permit, start + std::chrono::milliseconds(100)), ticket_state::Expired);
 }
 
-TEST(AtMostOnce, AWaitingTicketIsNotForgottenAndARunOneIsInTime)
+TEST(AtMostOnce, OnlyTicketsThatAreNotRunningAreForgottenOnceExpired)
 {
     time_point start;
     ticket_ledger ledger(7, start);
--- a/Tests/QuotaHolds/quota_fleet.cpp
+++ b/Tests/QuotaHolds/quota_fleet.cpp
@@ -21,7 +21,7 @@
     , m_random(fleetPlan.seed)
 {
     m_configuration.version = 1;
-    m_nodes.resize(m_plan.zones * m_plan.nodesOfZone);
+    m_nodes.resize(m_plan.zones * m_plan.nodesPerZone);
     for (std::size_t node = 0; node < m_nodes.size(); ++node) {
         start(node);
     }
@@ -29,15 +29,15 @@
 
 void quota_fleet::setQuota(const std::string& organisation, organisation_quota quota)
 {
-    auto& all = m_configuration.organisations;
-    auto known = std::find_if(all.begin(), all.end(), [&organisation](const auto& each) { return each.name == organisation; });
-    if (known == all.end()) {
-        known = all.insert(all.end(), { organisation, {}, std::nullopt, {} });
+    auto& organisations = m_configuration.organisations;
+    auto found = std::find_if(organisations.begin(), organisations.end(), [&organisation](const auto& configured) { return configured.name == organisation; });
+    if (found == organisations.end()) {
+        found = organisations.insert(organisations.end(), { organisation, {}, std::nullopt, {} });
     }
-    known->quota = quota;
-    for (auto& each : m_nodes) {
-        if (each.exchange) {
-            each.exchange->setConfiguration(m_configuration, m_now);
+    found->quota = quota;
+    for (auto& fleetNode : m_nodes) {
+        if (fleetNode.exchange) {
+            fleetNode.exchange->setConfiguration(m_configuration, m_now);
         }
     }
 }
@@ -49,18 +49,18 @@
 
 void quota_fleet::start(std::size_t node)
 {
-    auto& each = m_nodes[node];
-    each.entry.id = m_random() | 1U;
-    each.entry.name = "node-" + std::to_string(node);
-    each.entry.availabilityZone = "zone-" + std::to_string(zoneOf(node));
-    each.frozen = false;
-    m_index[each.entry.id] = node;
-    quota_settings settings { each.entry.id, each.entry.availabilityZone, m_plan.zonesTold == 0 ? m_plan.zones : m_plan.zonesTold, m_plan.tolerance };
+    auto& fleetNode = m_nodes[node];
+    fleetNode.entry.id = m_random() | 1U;
+    fleetNode.entry.name = "node-" + std::to_string(node);
+    fleetNode.entry.availabilityZone = "zone-" + std::to_string(zoneOf(node));
+    fleetNode.frozen = false;
+    m_index[fleetNode.entry.id] = node;
+    quota_settings settings { fleetNode.entry.id, fleetNode.entry.availabilityZone, m_plan.configuredZones == 0 ? m_plan.zones : m_plan.configuredZones, m_plan.tolerance };
     quota_hooks hooks;
-    hooks.send = [this, id = each.entry.id](const member& target, const quota_message& message) { post(id, target.id, message); };
+    hooks.send = [this, id = fleetNode.entry.id](const member& target, const quota_message& message) { transmit(id, target.id, message); };
     hooks.chance = [this](std::uint64_t bound) { return m_random() % bound; };
-    each.exchange = std::make_unique<quota_exchange>(settings, hooks, m_now);
-    each.exchange->setConfiguration(m_configuration, m_now);
+    fleetNode.exchange = std::make_unique<quota_exchange>(settings, hooks, m_now);
+    fleetNode.exchange->setConfiguration(m_configuration, m_now);
 }
 
 void quota_fleet::setFrozen(std::size_t node, bool frozen)
@@ -71,33 +71,33 @@
 bool quota_fleet::reaches(std::size_t from, std::size_t to) const
 {
     auto groupOf = [this](std::size_t node) {
-        auto found = m_group.find(node);
-        return found == m_group.end() ? 0 : found->second;
+        auto found = m_groups.find(node);
+        return found == m_groups.end() ? 0 : found->second;
     };
     return groupOf(from) == groupOf(to);
 }
 
-void quota_fleet::spreadMembers(bool seesThroughCuts)
+void quota_fleet::updateViews(bool ignorePartitions)
 {
     for (std::size_t node = 0; node < m_nodes.size(); ++node) {
-        std::set<std::size_t> seen;
+        std::set<std::size_t> visible;
         for (std::size_t other = 0; other < m_nodes.size(); ++other) {
-            if (isRunning(other) && (seesThroughCuts || reaches(node, other))) {
-                seen.insert(other);
+            if (isRunning(other) && (ignorePartitions || reaches(node, other))) {
+                visible.insert(other);
             }
         }
-        mislead(node, seen);
+        setView(node, visible);
     }
 }
 
-void quota_fleet::mislead(std::size_t node, const std::set<std::size_t>& believed)
+void quota_fleet::setView(std::size_t node, const std::set<std::size_t>& view)
 {
     if (!isRunning(node)) {
         return;
     }
     auto members = std::make_shared<std::vector<member>>();
     members->push_back(m_nodes[node].entry);
-    for (auto other : believed) {
+    for (auto other : view) {
         if (other != node) {
             members->push_back(m_nodes[other].entry);
         }
@@ -112,52 +112,52 @@
     return isCurrent ? found->second : m_nodes.size();
 }
 
-void quota_fleet::post(std::uint64_t from, std::uint64_t to, const quota_message& message)
+void quota_fleet::transmit(std::uint64_t from, std::uint64_t to, const quota_message& message)
 {
     ++m_messages;
     auto sender = indexOf(from);
     auto target = indexOf(to);
-    if (sender == m_nodes.size() || target == m_nodes.size() || !reaches(sender, target) || chance() < m_plan.lossOfMessages) {
+    if (sender == m_nodes.size() || target == m_nodes.size() || !reaches(sender, target) || chance() < m_plan.messageLoss) {
         return;
     }
-    bool isNear = zoneOf(sender) == zoneOf(target);
-    auto way = std::chrono::microseconds((isNear ? 300 : 900) + m_random() % 400);
-    m_underWay.push({ m_now + way, from, to, message });
+    bool isSameZone = zoneOf(sender) == zoneOf(target);
+    auto latency = std::chrono::microseconds((isSameZone ? 300 : 900) + m_random() % 400);
+    m_inFlight.push({ m_now + latency, from, to, message });
 }
 
 void quota_fleet::deliver()
 {
-    while (!m_underWay.empty() && m_underWay.top().arrives <= m_now) {
-        auto next = m_underWay.top();
-        m_underWay.pop();
+    while (!m_inFlight.empty() && m_inFlight.top().arrives <= m_now) {
+        auto next = m_inFlight.top();
+        m_inFlight.pop();
         auto target = indexOf(next.to);
         if (target == m_nodes.size() || !isRunning(target)) {
             continue;
         }
         if (m_nodes[target].frozen) {
-            // It lies in the socket until the process goes on.
+            // The message stays in the socket's buffer until the process resumes.
             next.arrives = m_now + stepLength;
-            m_underWay.push(next);
+            m_inFlight.push(next);
             continue;
         }
         if (auto answer = m_nodes[target].exchange->receive(next.message, m_now)) {
-            post(next.to, next.from, *answer);
+            transmit(next.to, next.from, *answer);
         }
     }
 }
 
-void quota_fleet::demandAt(const quota_demand& demand)
+void quota_fleet::generateDemand(const quota_demand& demand)
 {
-    auto& each = m_nodes[demand.node];
+    auto& fleetNode = m_nodes[demand.node];
     std::poisson_distribution<int> arrivals(demand.rate * std::chrono::duration<double>(stepLength).count());
     auto count = arrivals(m_random);
-    for (int i = 0; i < count && each.exchange && !each.frozen; ++i) {
+    for (int i = 0; i < count && fleetNode.exchange && !fleetNode.frozen; ++i) {
         m_asked[demand.organisation].push_back(m_now);
         quota_request request { demand.organisation, static_cast<shedding_position>(m_random() % sheddingPositionCount), m_now + longestHold, m_now + longestHoldAtStart };
-        each.exchange->take(
-            request, [this, organisation = demand.organisation](quota_refusal refusal, time_point decided) {
+        fleetNode.exchange->take(
+            request, [this, organisation = demand.organisation](quota_refusal refusal, time_point admittedAt) {
                 if (!refusal) {
-                    m_admitted[organisation].push_back(decided);
+                    m_admitted[organisation].push_back(admittedAt);
                 }
             },
             m_now);
@@ -166,17 +166,17 @@
 
 void quota_fleet::step()
 {
-    constexpr int partsOfStep = 10;
-    for (int part = 0; part < partsOfStep; ++part) {
-        m_now += stepLength / partsOfStep;
+    constexpr int deliveriesPerStep = 10;
+    for (int delivery = 0; delivery < deliveriesPerStep; ++delivery) {
+        m_now += stepLength / deliveriesPerStep;
         deliver();
     }
     for (const auto& demand : m_demand) {
-        demandAt(demand);
+        generateDemand(demand);
     }
-    for (auto& each : m_nodes) {
-        if (each.exchange && !each.frozen) {
-            each.exchange->tick(m_now);
+    for (auto& fleetNode : m_nodes) {
+        if (fleetNode.exchange && !fleetNode.frozen) {
+            fleetNode.exchange->tick(m_now);
         }
     }
 }
@@ -194,7 +194,7 @@
     return static_cast<std::size_t>(times.end() - std::lower_bound(times.begin(), times.end(), since));
 }
 
-std::size_t quota_fleet::mostIn(const std::string& organisation, milliseconds window)
+std::size_t quota_fleet::maxAdmittedIn(const std::string& organisation, milliseconds window)
 {
     return mostInWindow(admitted(organisation), window);
 }
@@ -205,7 +205,7 @@
     return found == m_asked.end() ? 0 : found->second.size();
 }
 
-std::size_t quota_fleet::rightful(const std::string& organisation, organisation_quota quota) const
+std::size_t quota_fleet::idealAdmissions(const std::string& organisation, organisation_quota quota) const
 {
     double tokens = quota.burst;
     std::size_t count = 0;
--- a/Tests/QuotaHolds/quota_holds_test.cpp
+++ b/Tests/QuotaHolds/quota_holds_test.cpp
@@ -11,14 +11,15 @@
     constexpr milliseconds window { 5000 };
     constexpr milliseconds startTime { 3000 };
 
-    // What the operator allows in a window, with what the settings tolerate.
-    double mostAllowed(const organisation_quota& quota, const quota_tolerance& tolerance)
+    // The maximum number of requests in a window: the limit plus the tolerance of the settings.
+    double maxAllowed(const organisation_quota& quota, const quota_tolerance& tolerance)
     {
         auto allowed = quota.ratePerSecond * std::chrono::duration<double>(window).count() + quota.burst;
-        return allowed * (1 + tolerance.part) + tolerance.slack;
+        return allowed * (1 + tolerance.fraction) + tolerance.slack;
     }
 
-    // A fleet whose nodes know each other, and one organisation.
+    // A fleet whose nodes know each other, with one organisation. Checks at the end that the limit was
+    // kept in every window.
     struct one_organisation {
         explicit one_organisation(const quota_fleet::plan& plan = {}, organisation_quota allowed = { 60, 60 })
             : fleet(plan)
@@ -26,13 +27,13 @@
             , tolerance(plan.tolerance)
         {
             fleet.setQuota("guests", quota);
-            fleet.spreadMembers(false);
+            fleet.updateViews(false);
             fleet.run(startTime);
         }
 
-        ~one_organisation() { EXPECT_LE(fleet.mostIn("guests", window), mostAllowed(quota, tolerance)); }
+        ~one_organisation() { EXPECT_LE(fleet.maxAdmittedIn("guests", window), maxAllowed(quota, tolerance)); }
 
-        // So many times what the quota's rate allows, from some nodes.
+        // Sets the demand, as a multiple of the quota's rate, spread over the nodes.
         void demand(double times, const std::vector<std::size_t>& nodes)
         {
             std::vector<quota_demand> all;
@@ -43,13 +44,13 @@
             fleet.setDemand(all);
         }
 
-        // Part that was let through of what the demand is and the quota allows.
-        double servedIn(milliseconds time, double times)
+        // Runs the fleet; returns the admitted fraction of what the demand and the quota allow.
+        double servedFraction(milliseconds time, double times)
         {
             auto since = fleet.now();
             fleet.run(time);
-            auto rightful = std::min(times, 1.0) * quota.ratePerSecond * std::chrono::duration<double>(time).count();
-            return static_cast<double>(fleet.admittedSince("guests", since)) / rightful;
+            auto ideal = std::min(times, 1.0) * quota.ratePerSecond * std::chrono::duration<double>(time).count();
+            return static_cast<double>(fleet.admittedSince("guests", since)) / ideal;
         }
 
         quota_fleet fleet;
@@ -69,129 +70,129 @@
 
 }
 
-// Calm: an organisation that stays below its limit, whose clients stick to a few of the nodes.
-TEST(QuotaHolds, WhileAllThatIsRightfulIsServed)
+// An organisation stays below its limit, and its clients use only a few of the nodes.
+TEST(QuotaHolds, ServesAllDemandBelowTheLimit)
 {
     for (double times : { 0.3, 0.6, 0.8 }) {
-        one_organisation calm;
-        calm.demand(times, { 1, 9, 10, 17 });
-        EXPECT_GE(calm.servedIn(milliseconds(20000), times), 0.97) << times;
+        one_organisation belowLimit;
+        belowLimit.demand(times, { 1, 9, 10, 17 });
+        EXPECT_GE(belowLimit.servedFraction(milliseconds(20000), times), 0.97) << times;
     }
 }
 
-// One organisation at six times its rate, everywhere: no more than its limit, and all of that.
+// An organisation with six times its rate at all nodes gets its whole limit, and no more.
 TEST(QuotaHolds, AgainstAnOrganisationFarAboveItsLimit)
 {
-    one_organisation hot;
-    hot.demand(6, everyNode(hot.fleet));
-    EXPECT_GE(hot.servedIn(milliseconds(20000), 6), 0.97);
+    one_organisation aboveLimit;
+    aboveLimit.demand(6, everyNode(aboveLimit.fleet));
+    EXPECT_GE(aboveLimit.servedFraction(milliseconds(20000), 6), 0.97);
 }
 
-// Its clients come to one zone only, where a third of the limit is at hand.
-TEST(QuotaHolds, AndFollowsClientsThatMoveToOneZone)
+// The clients move to one zone, whose own share is a third of the limit.
+TEST(QuotaHolds, FollowsClientsThatMoveToOneZone)
 {
     one_organisation moved;
     moved.demand(0.6, everyNode(moved.fleet));
     moved.fleet.run(milliseconds(5000));
     moved.demand(0.8, { 0, 1, 2, 3 });
-    EXPECT_GE(moved.servedIn(milliseconds(10000), 0.8), 0.9);
+    EXPECT_GE(moved.servedFraction(milliseconds(10000), 0.8), 0.9);
 }
 
-// Each side of a cut goes by its own part, whatever it believes of the other.
-TEST(QuotaHolds, OnBothSidesOfACut)
+// Each side of a partition uses its own share only, whatever its view of the other side.
+TEST(QuotaHolds, OnBothSidesOfAPartition)
 {
-    for (bool believesAll : { true, false }) {
-        one_organisation halved;
-        halved.demand(6, everyNode(halved.fleet));
+    for (bool ignorePartitions : { true, false }) {
+        one_organisation partitioned;
+        partitioned.demand(6, everyNode(partitioned.fleet));
         std::map<std::size_t, int> groups;
         for (std::size_t node = 0; node < 8; ++node) {
             groups[node] = 1;
         }
-        halved.fleet.cut(groups);
-        halved.fleet.spreadMembers(believesAll);
-        EXPECT_GE(halved.servedIn(milliseconds(15000), 6), 0.9);
-        halved.fleet.cut({});
-        halved.fleet.spreadMembers(false);
-        halved.fleet.run(milliseconds(5000));
+        partitioned.fleet.partition(groups);
+        partitioned.fleet.updateViews(ignorePartitions);
+        EXPECT_GE(partitioned.servedFraction(milliseconds(15000), 6), 0.9);
+        partitioned.fleet.partition({});
+        partitioned.fleet.updateViews(false);
+        partitioned.fleet.run(milliseconds(5000));
     }
 }
 
-// A node that is cut off from all believes after a while that it is alone.
-TEST(QuotaHolds, AtNodesThatBelieveThemselvesAlone)
+// A node that is isolated from all others assumes after a while that it is the only one.
+TEST(QuotaHolds, AtNodesThatAreIsolated)
 {
-    one_organisation lonely;
-    lonely.demand(6, everyNode(lonely.fleet));
+    one_organisation isolated;
+    isolated.demand(6, everyNode(isolated.fleet));
     std::map<std::size_t, int> groups;
     for (std::size_t node : { 2, 3, 11, 12, 20 }) {
         groups[node] = static_cast<int>(node) + 1;
     }
-    lonely.fleet.cut(groups);
-    lonely.fleet.run(milliseconds(3000));
-    lonely.fleet.spreadMembers(false);
-    EXPECT_GE(lonely.servedIn(milliseconds(12000), 6), 0.7);
+    isolated.fleet.partition(groups);
+    isolated.fleet.run(milliseconds(3000));
+    isolated.fleet.updateViews(false);
+    EXPECT_GE(isolated.servedFraction(milliseconds(12000), 6), 0.7);
 }
 
-// Every node ends while the organisation is at its limit, and all start together.
-TEST(QuotaHolds, AcrossAStartOfAllAtOnce)
+// All nodes are killed while the organisation is at its limit, and restarted together.
+TEST(QuotaHolds, AcrossARestartOfAllNodes)
 {
-    one_organisation started;
-    started.demand(6, everyNode(started.fleet));
-    started.fleet.run(milliseconds(8000));
-    for (auto node : everyNode(started.fleet)) {
-        started.fleet.kill(node);
+    one_organisation restarted;
+    restarted.demand(6, everyNode(restarted.fleet));
+    restarted.fleet.run(milliseconds(8000));
+    for (auto node : everyNode(restarted.fleet)) {
+        restarted.fleet.kill(node);
     }
-    started.fleet.run(milliseconds(700));
-    for (auto node : everyNode(started.fleet)) {
-        started.fleet.start(node);
+    restarted.fleet.run(milliseconds(700));
+    for (auto node : everyNode(restarted.fleet)) {
+        restarted.fleet.start(node);
     }
-    // Who hears of whom, and when, is chance.
+    // The nodes learn of each other at random times.
     for (int round = 1; round <= 6; ++round) {
-        for (auto node : everyNode(started.fleet)) {
+        for (auto node : everyNode(restarted.fleet)) {
             std::set<std::size_t> known;
-            for (auto other : everyNode(started.fleet)) {
-                if (started.fleet.random()() % 6 < static_cast<unsigned>(round)) {
+            for (auto other : everyNode(restarted.fleet)) {
+                if (restarted.fleet.random()() % 6 < static_cast<unsigned>(round)) {
                     known.insert(other);
                 }
             }
-            started.fleet.mislead(node, known);
+            restarted.fleet.setView(node, known);
         }
-        started.fleet.run(milliseconds(100));
+        restarted.fleet.run(milliseconds(100));
     }
-    started.fleet.spreadMembers(false);
-    started.fleet.run(milliseconds(1000));
-    EXPECT_GE(started.servedIn(milliseconds(8000), 6), 0.9);
+    restarted.fleet.updateViews(false);
+    restarted.fleet.run(milliseconds(1000));
+    EXPECT_GE(restarted.servedFraction(milliseconds(8000), 6), 0.9);
 }
 
-// Every node starts again; whoever asks meanwhile waits a moment, and is served.
-TEST(QuotaHolds, AndServesSoonAfterAStartOfAll)
+// All nodes are restarted; requests that arrive meanwhile wait shortly and are admitted.
+TEST(QuotaHolds, ServesSoonAfterARestartOfAllNodes)
 {
-    one_organisation started;
-    started.demand(0.6, everyNode(started.fleet));
-    started.fleet.run(milliseconds(5000));
-    for (auto node : everyNode(started.fleet)) {
-        started.fleet.kill(node);
+    one_organisation restarted;
+    restarted.demand(0.6, everyNode(restarted.fleet));
+    restarted.fleet.run(milliseconds(5000));
+    for (auto node : everyNode(restarted.fleet)) {
+        restarted.fleet.kill(node);
     }
-    started.fleet.run(milliseconds(700));
-    for (auto node : everyNode(started.fleet)) {
-        started.fleet.start(node);
+    restarted.fleet.run(milliseconds(700));
+    for (auto node : everyNode(restarted.fleet)) {
+        restarted.fleet.start(node);
     }
-    auto asked = started.fleet.asked("guests");
-    auto since = started.fleet.now();
-    started.fleet.run(milliseconds(150));
-    started.fleet.spreadMembers(false);
-    started.fleet.run(milliseconds(1850));
-    EXPECT_GE(static_cast<double>(started.fleet.admittedSince("guests", since)), 0.9 * static_cast<double>(started.fleet.asked("guests") - asked));
+    auto asked = restarted.fleet.asked("guests");
+    auto since = restarted.fleet.now();
+    restarted.fleet.run(milliseconds(150));
+    restarted.fleet.updateViews(false);
+    restarted.fleet.run(milliseconds(1850));
+    EXPECT_GE(static_cast<double>(restarted.fleet.admittedSince("guests", since)), 0.9 * static_cast<double>(restarted.fleet.asked("guests") - asked));
 }
 
-// The check of all these tests can fail: nodes that take the whole limit for their zone's.
-TEST(QuotaHolds, IsSeenToBreakWhereZonesDoNotDivideTheLimit)
+// Shows that the check of these tests can fail: every zone uses the whole limit.
+TEST(QuotaHolds, IsViolatedIfZonesDoNotDivideTheLimit)
 {
     quota_fleet::plan plan;
-    plan.zonesTold = 1;
+    plan.configuredZones = 1;
     quota_fleet fleet(plan);
     organisation_quota quota { 60, 60 };
     fleet.setQuota("guests", quota);
-    fleet.spreadMembers(false);
+    fleet.updateViews(false);
     std::vector<quota_demand> demand;
     demand.reserve(fleet.size());
     for (auto node : everyNode(fleet)) {
@@ -199,23 +200,23 @@
     }
     fleet.setDemand(demand);
     fleet.run(milliseconds(12000));
-    EXPECT_GT(fleet.mostIn("guests", window), mostAllowed(quota, plan.tolerance));
+    EXPECT_GT(fleet.maxAdmittedIn("guests", window), maxAllowed(quota, plan.tolerance));
 }
 
-// The pool of a zone ends with its node, one after the other.
-TEST(QuotaHolds, WhenThePoolsNodesEnd)
+// The nodes that own the pools are killed one after the other.
+TEST(QuotaHolds, WhenThePoolOwnersAreKilled)
 {
-    one_organisation ending;
-    ending.demand(6, everyNode(ending.fleet));
+    one_organisation killed;
+    killed.demand(6, everyNode(killed.fleet));
     for (std::size_t node : { 0, 8, 16, 1, 9, 17, 2, 10, 18, 3, 4, 5 }) {
-        ending.fleet.kill(node);
-        ending.fleet.run(milliseconds(1500));
-        ending.fleet.spreadMembers(false);
+        killed.fleet.kill(node);
+        killed.fleet.run(milliseconds(1500));
+        killed.fleet.updateViews(false);
     }
-    ending.fleet.run(milliseconds(5000));
+    killed.fleet.run(milliseconds(5000));
 }
 
-// A pool's node stands still, and goes on when the others have another pool.
+// The owner of a pool freezes, and resumes when the other nodes use another pool.
 TEST(QuotaHolds, WhenNodesFreezeAndWake)
 {
     one_organisation frozen;
@@ -232,7 +233,7 @@
     }
 }
 
-// A lower limit holds for what had been gathered under the higher one.
+// A lowered limit applies to quota collected under the higher one, too.
 TEST(QuotaHolds, AtOnceWhenTheLimitIsLowered)
 {
     one_organisation lowered({}, { 200, 200 });
@@ -241,84 +242,84 @@
     lowered.fleet.setQuota("guests", { 20, 20 });
     auto since = lowered.fleet.now();
     lowered.fleet.run(milliseconds(5000));
-    EXPECT_LE(lowered.fleet.admittedSince("guests", since), mostAllowed({ 20, 20 }, lowered.tolerance));
+    EXPECT_LE(lowered.fleet.admittedSince("guests", since), maxAllowed({ 20, 20 }, lowered.tolerance));
 }
 
-// Many small organisations: the least has as much of its rightful demand as the others.
+// Each of many small organisations gets nearly all of its demand, which is below its limit.
 TEST(QuotaHolds, ForEachOfManySmallOrganisations)
 {
     quota_fleet fleet({});
     std::vector<quota_demand> demand;
     constexpr int organisations = 80;
-    for (int each = 0; each < organisations; ++each) {
-        auto name = "o" + std::to_string(each);
+    for (int index = 0; index < organisations; ++index) {
+        auto name = "o" + std::to_string(index);
         fleet.setQuota(name, { 5, 5 });
         for (int client = 0; client < 4; ++client) {
             demand.push_back({ static_cast<std::size_t>(fleet.random()() % fleet.size()), name, 5 * 0.625 / 4 });
         }
     }
-    fleet.spreadMembers(false);
+    fleet.updateViews(false);
     fleet.run(startTime);
     fleet.setDemand(demand);
     fleet.run(milliseconds(20000));
     std::size_t asked = 0;
     std::size_t admitted = 0;
-    for (int each = 0; each < organisations; ++each) {
-        auto name = "o" + std::to_string(each);
+    for (int index = 0; index < organisations; ++index) {
+        auto name = "o" + std::to_string(index);
         asked += fleet.asked(name);
         admitted += fleet.admitted(name).size();
         EXPECT_GE(static_cast<double>(fleet.admitted(name).size()), 0.85 * static_cast<double>(fleet.asked(name))) << name;
-        EXPECT_LE(fleet.mostIn(name, window), mostAllowed({ 5, 5 }, quota_fleet::plan().tolerance));
+        EXPECT_LE(fleet.maxAdmittedIn(name, window), maxAllowed({ 5, 5 }, quota_fleet::plan().tolerance));
     }
     EXPECT_GE(static_cast<double>(admitted), 0.97 * static_cast<double>(asked));
 }
 
-// All organisations ask for somewhat more than their rate allows for a while, each from a few
-// nodes: the fleet lets through nearly what one counter that knows everything would.
-TEST(QuotaHolds, AndLetsThroughWhatOneCounterForAllWould)
+// Organisations with demands around their rates, each at a few nodes: the fleet admits nearly as
+// many requests as a central token bucket.
+TEST(QuotaHolds, AdmitsNearlyAsMuchAsACentralCounter)
 {
     for (double times : { 0.9, 1.06, 1.3 }) {
         quota_fleet fleet({});
         std::vector<quota_demand> demand;
         std::vector<organisation_quota> quotas;
-        for (int each = 0; each < 60; ++each) {
-            double rate = each == 0 ? 150 : 5 + each / 3;
+        for (int index = 0; index < 60; ++index) {
+            double rate = index == 0 ? 150 : 5 + index / 3;
             quotas.push_back({ rate, rate });
-            fleet.setQuota("o" + std::to_string(each), quotas.back());
+            fleet.setQuota("o" + std::to_string(index), quotas.back());
             for (int client = 0; client < 6; ++client) {
-                demand.push_back({ static_cast<std::size_t>(fleet.random()() % fleet.size()), "o" + std::to_string(each), rate * times / 6 });
+                demand.push_back({ static_cast<std::size_t>(fleet.random()() % fleet.size()), "o" + std::to_string(index), rate * times / 6 });
             }
         }
-        fleet.spreadMembers(false);
+        fleet.updateViews(false);
         fleet.run(startTime);
         fleet.setDemand(demand);
         fleet.run(milliseconds(18000));
         double admitted = 0;
-        double rightful = 0;
+        double ideal = 0;
         double asked = 0;
-        for (std::size_t each = 0; each < quotas.size(); ++each) {
-            auto name = "o" + std::to_string(each);
+        for (std::size_t index = 0; index < quotas.size(); ++index) {
+            auto name = "o" + std::to_string(index);
             admitted += static_cast<double>(fleet.admitted(name).size());
-            rightful += static_cast<double>(fleet.rightful(name, quotas[each]));
+            ideal += static_cast<double>(fleet.idealAdmissions(name, quotas[index]));
             asked += static_cast<double>(fleet.asked(name));
-            EXPECT_LE(fleet.mostIn(name, window), mostAllowed(quotas[each], quota_fleet::plan().tolerance));
+            EXPECT_LE(fleet.maxAdmittedIn(name, window), maxAllowed(quotas[index], quota_fleet::plan().tolerance));
         }
-        std::printf("times %.2f: asked %.0f, one counter %.0f, fleet %.0f (%.3f)\n", times, asked, rightful, admitted, admitted / rightful);
-        EXPECT_GE(admitted, 0.97 * rightful) << times;
+        std::printf("times %.2f: asked %.0f, one counter %.0f, fleet %.0f (%.3f)\n", times, asked, ideal, admitted, admitted / ideal);
+        EXPECT_GE(admitted, 0.97 * ideal) << times;
     }
 }
 
-// Cuts, freezes, kills, starts and wrong views at random, at six times the limit.
-TEST(QuotaHolds, WhateverHappensToNodesAndTheirViews)
+// Random partitions, freezes, kills, restarts and wrong views, at six times the limit.
+TEST(QuotaHolds, UnderRandomFailuresAndWrongViews)
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
         quota_fleet::plan plan;
         plan.seed = seed;
-        one_organisation world(plan);
-        auto& fleet = world.fleet;
+        one_organisation scenario(plan);
+        auto& fleet = scenario.fleet;
         auto& random = fleet.random();
-        world.demand(6, everyNode(fleet));
+        scenario.demand(6, everyNode(fleet));
         for (int event = 0; event < 25; ++event) {
             auto node = random() % fleet.size();
             switch (random() % 7) {
@@ -326,7 +327,7 @@
                 fleet.kill(node);
                 break;
             case 1:
-                // Two of one name never run together.
+                // Two processes with the same name never run at the same time.
                 fleet.kill(node);
                 fleet.run(milliseconds(300 + random() % 700));
                 fleet.start(node);
@@ -335,31 +336,31 @@
                 fleet.setFrozen(node, true);
                 break;
             case 3:
-                for (std::size_t each = 0; each < fleet.size(); ++each) {
-                    fleet.setFrozen(each, false);
+                for (std::size_t other = 0; other < fleet.size(); ++other) {
+                    fleet.setFrozen(other, false);
                 }
                 break;
             case 4: {
                 std::map<std::size_t, int> groups;
                 auto zone = random() % plan.zones;
-                for (std::size_t each = 0; each < fleet.size(); ++each) {
-                    groups[each] = fleet.zoneOf(each) == zone ? 1 : 0;
+                for (std::size_t other = 0; other < fleet.size(); ++other) {
+                    groups[other] = fleet.zoneOf(other) == zone ? 1 : 0;
                 }
-                fleet.cut(groups);
+                fleet.partition(groups);
                 break;
             }
             case 5: {
                 std::map<std::size_t, int> groups;
                 groups[node] = 1;
                 groups[random() % fleet.size()] = 2;
-                fleet.cut(groups);
+                fleet.partition(groups);
                 break;
             }
             default:
-                fleet.cut({});
+                fleet.partition({});
             }
             fleet.run(milliseconds(random() % 800));
-            fleet.spreadMembers(random() % 3 == 0);
+            fleet.updateViews(random() % 3 == 0);
         }
     }
 }
--- a/Tests/RetryAllowance/retry_allowance_test.cpp
+++ b/Tests/RetryAllowance/retry_allowance_test.cpp
@@ -14,8 +14,8 @@
 
     constexpr milliseconds window { 10000 };
 
-    // Long after the start of the process.
-    constexpr time_point settled { std::chrono::seconds(100) };
+    // Long after the process started.
+    constexpr time_point longAfterStart { std::chrono::seconds(100) };
 
     int takeAll(retry_allowance& allowance, const std::string& service, time_point now)
     {
@@ -31,10 +31,10 @@
 TEST(RetryAllowance, SharesTheSlackAmongTheNodes)
 {
     retry_allowance alone({ 0.2, 48, window }, {});
-    EXPECT_EQ(takeAll(alone, "a", settled), 24);
+    EXPECT_EQ(takeAll(alone, "a", longAfterStart), 24);
     retry_allowance oneOfTwelve({ 0.2, 48, window }, {});
     oneOfTwelve.setNodes(12);
-    EXPECT_EQ(takeAll(oneOfTwelve, "a", settled), 2);
+    EXPECT_EQ(takeAll(oneOfTwelve, "a", longAfterStart), 2);
 }
 
 TEST(RetryAllowance, GrowsWithTheServicesOwnRequests)
@@ -47,28 +47,28 @@
     EXPECT_EQ(takeAll(allowance, "b", {}), 0);
 }
 
-TEST(RetryAllowance, IsThereAgainWhenTheWindowHasPassed)
+TEST(RetryAllowance, IsAvailableAgainAfterTheWindow)
 {
     retry_allowance allowance({ 0.2, 4, window }, {});
-    EXPECT_EQ(takeAll(allowance, "a", settled), 2);
-    EXPECT_EQ(takeAll(allowance, "a", settled + window / 2), 0);
-    EXPECT_EQ(takeAll(allowance, "a", settled + window + milliseconds(1000)), 2);
+    EXPECT_EQ(takeAll(allowance, "a", longAfterStart), 2);
+    EXPECT_EQ(takeAll(allowance, "a", longAfterStart + window / 2), 0);
+    EXPECT_EQ(takeAll(allowance, "a", longAfterStart + window + milliseconds(1000)), 2);
 }
 
-// The rule that all nodes keep together: in any window, repeats are within the ratio
-// of the requests and the slack. Random load on several nodes with random pauses.
-TEST(RetryAllowance, HoldsTheFleetsBoundInEveryWindow)
+// In any window, the retries of all nodes together must not exceed the ratio of the requests
+// plus the slack. Applies random load with random pauses to several nodes.
+TEST(RetryAllowance, KeepsTheFleetWithinItsLimitInEveryWindow)
 {
     constexpr int nodes = 5;
     constexpr double slack = 50;
     constexpr double ratio = 0.2;
     std::mt19937 random(11);
     std::vector<retry_allowance> fleet(nodes, retry_allowance({ ratio, slack, window }, {}));
-    for (auto& each : fleet) {
-        each.setNodes(nodes);
+    for (auto& allowance : fleet) {
+        allowance.setNodes(nodes);
     }
     std::deque<time_point> requests;
-    std::deque<time_point> repeats;
+    std::deque<time_point> retries;
     time_point now;
     for (int step = 0; step < 40000; ++step) {
         now += milliseconds(random() % (random() % 500 == 0 ? 3000 : 6));
@@ -76,26 +76,26 @@
         node.requested("a", now);
         requests.push_back(now);
         if (random() % 2 == 0 && node.take("a", now)) {
-            repeats.push_back(now);
+            retries.push_back(now);
         }
         while (requests.front() < now - window) {
             requests.pop_front();
         }
-        while (!repeats.empty() && repeats.front() < now - window) {
-            repeats.pop_front();
+        while (!retries.empty() && retries.front() < now - window) {
+            retries.pop_front();
         }
-        ASSERT_LE(static_cast<double>(repeats.size()), ratio * static_cast<double>(requests.size()) + slack);
+        ASSERT_LE(static_cast<double>(retries.size()), ratio * static_cast<double>(requests.size()) + slack);
     }
 }
 
-// The load: all machines lose power and start again while every server loses answers.
-// Each of twelve nodes knew nobody at first and took half of the slack for its own:
-// 343 repeats where 293 were allowed.
-TEST(RetryAllowance, OfANodeThatHasJustStartedHasNoSlack)
+// Guards against nodes that use the whole slack before they know each other: when twelve nodes
+// restarted together while every server lost answers, each took half of the slack for itself, and
+// they made 343 retries where 293 were allowed.
+TEST(RetryAllowance, HasNoSlackShortlyAfterTheStart)
 {
-    retry_allowance allowance({ 0.2, 48, window }, settled);
-    EXPECT_EQ(takeAll(allowance, "a", settled + milliseconds(1500)), 0);
-    EXPECT_EQ(takeAll(allowance, "a", settled + milliseconds(5000)), 24);
+    retry_allowance allowance({ 0.2, 48, window }, longAfterStart);
+    EXPECT_EQ(takeAll(allowance, "a", longAfterStart + milliseconds(1500)), 0);
+    EXPECT_EQ(takeAll(allowance, "a", longAfterStart + milliseconds(5000)), 24);
 }
 
 }
--- a/Tests/RetryTokens/retry_tokens_test.cpp
+++ b/Tests/RetryTokens/retry_tokens_test.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-    // Plays one request through a random call tree in which calls fail, answers
-    // get lost and servers make onward calls, and counts the retries.
+    // Runs one request through a random call tree in which calls fail, answers are lost
+    // and servers make onward calls, and counts the retries.
     class random_tree {
     public:
-        // conserving: whether a run's own tokens fall by what it hands to onward calls.
+        // conserving: whether a run gives up the tokens that it passes to onward calls.
         random_tree(std::uint64_t seed, bool conserving)
             : m_random(seed)
             , m_conserving(conserving)
         {
         }
 
-        // Returns the tokens that are left of those given.
+        // Returns the tokens that are left.
         std::uint32_t call(std::uint32_t tokens, int depth)
         {
             call_progress progress(true, tokens, false);
@@ -42,7 +42,7 @@
         {
             auto onward = depth == 0 ? 0 : m_random() % 4;
             for (std::uint64_t i = 0; i < onward; ++i) {
-                // As inbound_calls hands tokens out: about half to each onward call.
+                // Passes tokens on as inbound_calls does: about half of the rest to each onward call.
                 auto taken = (tokens + 1) / 2;
                 tokens -= m_conserving ? taken : 0;
                 tokens += call(taken, depth - 1);
@@ -61,8 +61,8 @@
         bool m_conserving;
     };
 
-    // Whether some tree of many spends more than its allowance; says which.
-    std::string firstOverspent(bool conserving)
+    // The seed of the first tree that spends more than its allowance; empty if none does.
+    std::string firstOverspendingTree(bool conserving)
     {
         for (std::uint64_t seed = 1; seed <= 20000; ++seed) {
             for (std::uint32_t allowance = 0; allowance <= 3; ++allowance) {
@@ -80,15 +80,15 @@
 
 TEST(RetryTokens, NoTreeSpendsMoreThanItsAllowance)
 {
-    EXPECT_EQ(firstOverspent(true), "");
+    EXPECT_EQ(firstOverspendingTree(true), "");
 }
 
 TEST(RetryTokens, TreesOverspendIfTokensAreCopied)
 {
-    EXPECT_NE(firstOverspent(false), "");
+    EXPECT_NE(firstOverspendingTree(false), "");
 }
 
-TEST(RetryTokens, WhatAPeerInventsIsNotTaken)
+TEST(RetryTokens, TokensThatAPeerAddsAreIgnored)
 {
     call_progress progress(true, 2, false);
     auto start = progress.begin(1);
@@ -96,7 +96,7 @@
     EXPECT_EQ(progress.tokens(), 2U);
 }
 
-TEST(RetryTokens, ALostAnswerLosesItsTokensAndAnAttemptThatNeverLeftDoesNot)
+TEST(RetryTokens, ALostAnswerLosesItsTokensAndAnUnsentAttemptDoesNot)
 {
     call_progress lost(true, 2, false);
     lost.begin(1);
@@ -108,7 +108,7 @@
     EXPECT_EQ(unsent.tokens(), 2U);
 }
 
-TEST(RetryTokens, WhatIsShedByItsPositionIsNotTriedAgain)
+TEST(RetryTokens, ACallShedByItsPositionIsNotRetried)
 {
     call_progress progress(true, 2, false);
     progress.begin(1);
@@ -116,9 +116,9 @@
     EXPECT_FALSE(progress.mayRetry(std::chrono::steady_clock::time_point::max(), {}));
 }
 
-// Found by the measure tool: one full server of three failed confirmed replies
-// whose position was far above every cut.
-TEST(RetryTokens, WhatOneServerHadNoRoomForIsTriedAtAnother)
+// Guards against treating a full server as a cut: one full server out of three made confirmed
+// replies fail although their positions were far above every cut.
+TEST(RetryTokens, ACallRefusedByAFullServerIsRetriedAtAnother)
 {
     call_progress progress(true, 2, false);
     progress.begin(1);
@@ -126,7 +126,7 @@
     EXPECT_TRUE(progress.mayRetry(std::chrono::steady_clock::time_point::max(), {}));
 }
 
-TEST(RetryTokens, ANodeRetriesASmallPartOfItsCalls)
+TEST(RetryTokens, ANodeRetriesASmallFractionOfItsCalls)
 {
     retry_budget budget;
     int retries = 0;
--- a/Tests/RunDeadlines/run_deadlines_test.cpp
+++ b/Tests/RunDeadlines/run_deadlines_test.cpp
@@ -12,11 +12,11 @@
     using std::chrono::microseconds;
     using std::chrono::milliseconds;
 
-    // The deadline that a server tells of a call, after both sides rounded it to whole
-    // milliseconds and the way took its time.
-    time_point echoed(time_point told, std::mt19937& random)
+    // The deadline that a server sends with an onward call: both sides have rounded it to whole
+    // milliseconds, and transmission has taken some time.
+    time_point echoed(time_point assigned, std::mt19937& random)
     {
-        return told - microseconds(random() % 1000) + microseconds(random() % 4000);
+        return assigned - microseconds(random() % 1000) + microseconds(random() % 4000);
     }
 
 }
@@ -33,43 +33,43 @@
     EXPECT_FALSE(runs.find(base + milliseconds(5000)));
 }
 
-TEST(RunDeadlines, NeverTellsALaterDeadlineAndHardlyAnEarlierOne)
+TEST(RunDeadlines, AssignsNoLaterDeadlineAndOnlySlightlyEarlierOnes)
 {
     std::mt19937 random(5);
     run_deadlines runs;
     time_point base { std::chrono::seconds(100) };
     for (std::uint64_t id = 1; id <= 200; ++id) {
         auto deadline = base + milliseconds(random() % 400);
-        auto told = runs.begin(id, deadline);
-        EXPECT_LE(told, deadline);
-        EXPECT_LE(deadline - told, milliseconds(60));
+        auto assigned = runs.begin(id, deadline);
+        EXPECT_LE(assigned, deadline);
+        EXPECT_LE(deadline - assigned, milliseconds(60));
     }
 }
 
-// Fifty runs at once, as a server of as many slots has them: nearly every call finds
-// its own run.
-TEST(RunDeadlines, TellsFiftyRunsApart)
+// With fifty concurrent runs, as on a server with that many slots, nearly every call is
+// attributed to its own run.
+TEST(RunDeadlines, DistinguishesFiftyRuns)
 {
     std::mt19937 random(9);
     run_deadlines runs;
     time_point base { std::chrono::seconds(100) };
-    std::vector<time_point> told;
+    std::vector<time_point> assigned;
     for (std::uint64_t id = 0; id < 50; ++id) {
-        told.push_back(runs.begin(id, base + milliseconds(random() % 800)));
+        assigned.push_back(runs.begin(id, base + milliseconds(random() % 800)));
     }
-    int right = 0;
+    int correct = 0;
     for (std::uint64_t id = 0; id < 50; ++id) {
-        right += runs.find(echoed(told[id], random)) == id ? 1 : 0;
+        correct += runs.find(echoed(assigned[id], random)) == id ? 1 : 0;
     }
-    EXPECT_GE(right, 45);
+    EXPECT_GE(correct, 45);
 }
 
 TEST(RunDeadlines, ForgetsARunThatEnded)
 {
     run_deadlines runs;
-    auto told = runs.begin(1, time_point(std::chrono::seconds(1)));
+    auto assigned = runs.begin(1, time_point(std::chrono::seconds(1)));
     runs.end(1);
-    EXPECT_FALSE(runs.find(told));
+    EXPECT_FALSE(runs.find(assigned));
 }
 
 }
--- a/Tests/VerdictWords/verdict_words_test.cpp
+++ b/Tests/VerdictWords/verdict_words_test.cpp
@@ -7,7 +7,7 @@
 
 namespace vanillashunt {
 
-TEST(VerdictWords, ExecutionWordsReadBack)
+TEST(VerdictWords, ExecutionNamesRoundTrip)
 {
     for (auto value : { execution::NotRun, execution::MayHaveRun, execution::Ran }) {
         EXPECT_EQ(parseExecution(toString(value)), value);
@@ -15,16 +15,16 @@
     EXPECT_FALSE(parseExecution("perhaps"));
 }
 
-TEST(VerdictWords, EachReasonHasItsOwnWord)
+TEST(VerdictWords, EachReasonHasItsOwnName)
 {
-    std::set<std::string> words;
+    std::set<std::string> names;
     for (int index = 0; index < verdictReasonCount; ++index) {
-        words.insert(toString(static_cast<verdict_reason>(index)));
+        names.insert(toString(static_cast<verdict_reason>(index)));
     }
-    EXPECT_EQ(words.size(), static_cast<std::size_t>(verdictReasonCount));
+    EXPECT_EQ(names.size(), static_cast<std::size_t>(verdictReasonCount));
 }
 
-TEST(VerdictWords, TicketsReadBack)
+TEST(VerdictWords, TicketsRoundTrip)
 {
     ticket original { 0xfeedULL, std::chrono::milliseconds(60000), 0xffffffffffffffffULL };
     EXPECT_EQ(parseTicket(toString(original)), original);
