--- a/Source/call/call_answer.h
+++ b/Source/call/call_answer.h
@@ -43,10 +43,10 @@
     std::uint32_t limit = 0;
     // The time that calls of this class usually take at its backend server; zero where the
     // node does not tell.
-    std::chrono::microseconds usualTime { 0 };
+    std::chrono::microseconds meanServiceTime { 0 };
 };
 
 // An answer that a node gives in the place of a backend server.
-call_answer answerWithout(std::uint64_t callId, std::uint32_t attempt, const verdict&);
+call_answer makeCallAnswer(std::uint64_t callId, std::uint32_t attempt, const verdict&);
 
 }
--- a/Source/node/inbound_calls.cpp
+++ b/Source/node/inbound_calls.cpp
@@ -128,7 +128,7 @@
 
 void inbound_calls::answerRepeat(const call_request& request, ticket_state finding, const call_replier& replier)
 {
-    auto answer = answerWithout(request.callId, request.attempt, repeatVerdict(finding));
+    auto answer = makeCallAnswer(request.callId, request.attempt, repeatVerdict(finding));
     auto kept = m_keptAnswers.find(request.permit->nonce);
     if (finding == ticket_state::Ran && kept != m_keptAnswers.end()) {
         answer = *kept->second;
@@ -153,7 +153,7 @@
 {
     auto node = m_arrivals.extract(arrivalId);
     auto& entry = node.mapped();
-    auto answer = answerWithout(0, 0, why);
+    auto answer = makeCallAnswer(0, 0, why);
     settleTicket(entry.request, answer);
     handOver(entry.request, why, now);
     reply(entry, answer);
@@ -193,7 +193,7 @@
         m_hooks.cancelRun(arrivalId);
         m_hooks.abandoned(arrivalId);
     }
-    settleTicket(entry.request, answerWithout(0, 0, verdict::notRun(verdict_reason::CallerGone)));
+    settleTicket(entry.request, makeCallAnswer(0, 0, verdict::notRun(verdict_reason::CallerGone)));
     m_arrivals.erase(found);
     m_gate.cancel(arrivalId, now);
     startReleased(now);
--- a/Source/node/outbound_calls.cpp
+++ b/Source/node/outbound_calls.cpp
@@ -153,9 +153,9 @@
         return;
     }
     auto request = entranceRequest(call.request.context);
-    m_entrance.learnCut(request, { answer.cut, answer.outcome.retryAfter }, now);
+    m_entrance.recordCut(request, { answer.cut, answer.outcome.retryAfter }, now);
     if (answer.outcome.run == execution::Ran && answer.outcome.reason == verdict_reason::Answered) {
-        m_entrance.learnTime(request, std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived), now);
+        m_entrance.recordDuration(request, std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived), now);
     }
 }
 
@@ -184,7 +184,7 @@
     }
     m_calls.emplace(callId, std::move(call));
     if (refusal) {
-        finish(callId, answerWithout(callId, 0, refusal->why), refusal->message, now);
+        finish(callId, makeCallAnswer(callId, 0, refusal->why), refusal->message, now);
         return callId;
     }
     m_retryBudget.firstAttempt(m_calls.at(callId).request.service);
@@ -192,7 +192,7 @@
     if (claimNeeded) {
         startClaim(callId, asked.idempotencyKey, now);
     } else if (m_calls.at(callId).progress.mustNotRun()) {
-        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::TicketUnknown)), "an earlier try may have run; repeat a non-idempotent request with its Idempotency-Key or with the ticket of the last refusal", now);
+        finish(callId, makeCallAnswer(callId, 0, verdict::mayHaveRun(verdict_reason::TicketUnknown)), "an earlier try may have run; repeat a non-idempotent request with its Idempotency-Key or with the ticket of the last refusal", now);
     } else {
         attempt(callId, now);
     }
@@ -232,12 +232,12 @@
             // The store may hold a claim of an earlier try, and only it knows.
             auto why = verdict::mayHaveRun(verdict_reason::TicketNeeded);
             why.retryAfter = unavailableRetryAfter(m_hooks.random());
-            finish(callId, answerWithout(callId, 0, why), "the store that knows this Idempotency-Key does not answer; repeat the request later", now);
+            finish(callId, makeCallAnswer(callId, 0, why), "the store that knows this Idempotency-Key does not answer; repeat the request later", now);
             return;
         }
         // The ticket goes to the caller unused: its repeat needs no store.
         call.progress.setPermit(own, permit_origin::Received);
-        finish(callId, answerWithout(callId, 0, verdict::notRun(verdict_reason::TicketNeeded)), "repeat the request with the enclosed ticket", now);
+        finish(callId, makeCallAnswer(callId, 0, verdict::notRun(verdict_reason::TicketNeeded)), "repeat the request with the enclosed ticket", now);
         return;
     }
     call.progress.setClaimKnown();
@@ -263,7 +263,7 @@
     auto target = chooseTarget(call, now);
     if (!target) {
         auto why = call.progress.permit() ? verdict::mayHaveRun(verdict_reason::TicketUnknown) : verdict::notRun(verdict_reason::NoBackendServer);
-        finish(callId, answerWithout(callId, call.progress.attempts(), why), "no backend server of service '" + call.request.service + "' can take the request now", now);
+        finish(callId, makeCallAnswer(callId, call.progress.attempts(), why), "no backend server of service '" + call.request.service + "' can take the request now", now);
         return;
     }
     if (call.progress.needsPermit()) {
@@ -395,7 +395,7 @@
     }
     auto& call = node.mapped();
     abandonAttempt(call, now);
-    observe(call, call_decision::Finished, now, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the caller left");
+    observe(call, call_decision::Finished, now, makeCallAnswer(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the caller left");
     if (call.parentRun != 0) {
         m_inbound.onwardFinished(call.parentRun, call.progress.tokens(), call.cut);
     }
@@ -411,7 +411,7 @@
     }
     for (auto callId : onward) {
         abandonAttempt(m_calls.at(callId), now);
-        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the run that made this call was given up", now);
+        finish(callId, makeCallAnswer(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the run that made this call was given up", now);
     }
 }
 
@@ -439,7 +439,7 @@
     for (auto callId : callIds) {
         auto& call = m_calls.at(callId);
         abandonAttempt(call, now);
-        finish(callId, answerWithout(callId, call.progress.attempts(), verdict::notRun(why)), message, now);
+        finish(callId, makeCallAnswer(callId, call.progress.attempts(), verdict::notRun(why)), message, now);
     }
 }
 
--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -82,7 +82,7 @@
     if (configuration->version <= version()) {
         return;
     }
-    m_organisations = organisation_book(configuration);
+    m_organisations = organisation_directory(configuration);
     m_table = route_table(std::move(configuration));
     m_rotation.setRoutes(m_table.configuration().routes);
 }
@@ -229,7 +229,7 @@
 routed_entry::request_origin routed_entry::originOf(const entry_request& request, const route& found) const
 {
     request_origin result;
-    if (!m_organisations.asksForKeys()) {
+    if (!m_organisations.requiresKeys()) {
         result.maker = m_hooks.findParent(request);
         return result;
     }
@@ -276,9 +276,9 @@
     }
     auto passedOver = call.tried;
     passedOver.insert(passedOver.end(), call.full.begin(), call.full.end());
-    bool hasRoom = m_room.isLikely(call.request.service, now);
+    bool hasRoom = m_room.isFreeSlotLikely(call.request.service, now);
     auto chosen = m_router.choose({ call.request.service, std::move(passedOver), hasRoom }, now);
-    bool asksOthers = chosen && call.full.size() < mostFull && !m_router.knowsLoad(chosen->id, now) && hasRoom;
+    bool asksOthers = chosen && call.full.size() < mostFull && !m_router.reliesOnRecentLoad(chosen->id, now) && hasRoom;
     if (!chosen && !call.full.empty()) {
         chosen = m_router.choose({ call.request.service, call.tried, hasRoom }, now);
     }
@@ -350,8 +350,8 @@
     call.attemptId = 0;
     auto latency = std::chrono::duration_cast<std::chrono::microseconds>(now - call.attemptStarted);
     route_outcome seen { answer.outcome, latency, answer.cut, answer.inFlight, answer.limit, answer.zoneCrossings };
-    if (answer.usualTime.count() > 0) {
-        seen.pace = m_paces.learn(call.request.context.requestClass, answer.usualTime);
+    if (answer.meanServiceTime.count() > 0) {
+        seen.pace = m_paces.learn(call.request.context.requestClass, answer.meanServiceTime);
     }
     m_router.finished(call.target, seen, now);
     // A node that answers tells its limit, also where its server lost the answer.
@@ -405,7 +405,7 @@
         // What failed on the way has not met all of its costs.
         m_costs.served(context.requestClass, answer.cost);
     }
-    m_entrance.learnCut({ "", context.requestClass, context.position, context.deadline }, { answer.cut, answer.outcome.retryAfter }, now);
+    m_entrance.recordCut({ "", context.requestClass, context.position, context.deadline }, { answer.cut, answer.outcome.retryAfter }, now);
 }
 
 // Only requests that come as far as a server count for the allowance: a repeat makes
--- a/Source/node/routed_entry.h
+++ b/Source/node/routed_entry.h
@@ -76,7 +76,7 @@
 };
 
 struct entry_settings {
-    node_place place;
+    node_location place;
     // The service of the server beside this node: where these requests begin.
     std::string ownService;
     retry_allowance_settings retries;
@@ -115,7 +115,7 @@
     void tick(time_point now);
 
     std::size_t inProgress() const { return m_calls.size(); }
-    std::vector<target_standing> targets(time_point now) const { return m_router.standings(now); }
+    std::vector<target_status> targets(time_point now) const { return m_router.targetStatuses(now); }
     std::int64_t version() const { return m_table.configuration().version; }
     // Whether the configuration has a service of that name.
     bool knowsService(const std::string& name) const;
@@ -187,13 +187,13 @@
     entry_settings m_settings;
     entry_hooks m_hooks;
     route_table m_table;
-    organisation_book m_organisations;
+    organisation_directory m_organisations;
     destination_rotation m_rotation;
     router m_router;
     retry_allowance m_allowance;
     entrance_gate m_entrance;
     cost_order m_costs;
-    service_room m_room;
+    free_slot_estimator m_room;
     relative_pace m_paces;
     call_intake m_intake = call_intake::All;
     std::unordered_map<std::uint64_t, entry_call> m_calls;
--- a/Source/node/routed_target.cpp
+++ b/Source/node/routed_target.cpp
@@ -67,7 +67,7 @@
     }
     for (auto id : ended) {
         m_hooks.cancelRun(id);
-        serverAnswered(id, answerWithout(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost)), now);
+        serverAnswered(id, makeCallAnswer(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost)), now);
     }
 }
 
@@ -185,7 +185,7 @@
         seen.inputs.cut = m_gate.cut();
         m_hooks.observed(seen);
     }
-    reply(entry, answerWithout(0, 0, why), now);
+    reply(entry, makeCallAnswer(0, 0, why), now);
 }
 
 void routed_target::cancel(std::uint64_t arrivalId, time_point now)
@@ -254,7 +254,7 @@
     answer.zoneCrossings = entry.zoneCrossings;
     answer.inFlight = m_gate.inFlight() + static_cast<std::uint32_t>(m_gate.waiting());
     answer.limit = m_gate.limit();
-    answer.usualTime = m_pace.usualTime(entry.request.context.requestClass, now).value_or(answer.usualTime);
+    answer.meanServiceTime = m_pace.meanServiceTime(entry.request.context.requestClass, now).value_or(answer.meanServiceTime);
     entry.replier(answer);
 }
 
--- a/Source/routing/service_room.h
+++ b/Source/routing/service_room.h
@@ -10,7 +10,7 @@
 
 // How often the targets of each service were full lately, as their answers told: whether
 // a call that meets a full one is likely to find a free slot at another.
-class service_room {
+class free_slot_estimator {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
@@ -20,7 +20,7 @@
     // Whether one of a few targets that are asked is likely to have a free slot. Under an
     // overload of the whole service there is nobody to ask, and asking would cost the
     // processor of nodes that are full.
-    bool isLikely(const std::string& service, time_point now) const;
+    bool isFreeSlotLikely(const std::string& service, time_point now) const;
 
 private:
     // By service: part of the answers that told of a full target.
--- a/Tests/RoutedTarget/routed_target_test.cpp
+++ b/Tests/RoutedTarget/routed_target_test.cpp
@@ -431,13 +431,13 @@
         world.arrive();
         world.now += milliseconds(80);
         world.serverAnswers(verdict::answered());
-        EXPECT_EQ(world.answers.back().usualTime.count(), 0);
+        EXPECT_EQ(world.answers.back().meanServiceTime.count(), 0);
     }
     world.target().serverTold(world.server.start, { 0, 0, announcedSlots, 1 }, world.now);
     world.arrive();
     world.now += milliseconds(80);
     world.serverAnswers(verdict::answered());
-    EXPECT_EQ(world.answers.back().usualTime, milliseconds(80));
+    EXPECT_EQ(world.answers.back().meanServiceTime, milliseconds(80));
 }
 
 // A server that has just started works at half its speed for some seconds, and says so.
@@ -451,7 +451,7 @@
         world.arrive();
         world.now += milliseconds(90);
         world.serverAnswers(verdict::answered());
-        EXPECT_EQ(world.answers.back().usualTime.count(), 0);
+        EXPECT_EQ(world.answers.back().meanServiceTime.count(), 0);
     }
     world.now += milliseconds(200);
     for (int i = 0; i < 5; ++i) {
@@ -459,7 +459,7 @@
         world.now += milliseconds(40);
         world.serverAnswers(verdict::answered());
     }
-    EXPECT_EQ(world.answers.back().usualTime, milliseconds(40));
+    EXPECT_EQ(world.answers.back().meanServiceTime, milliseconds(40));
 }
 
 // A restart under the same id: what the last start told, also late, says nothing of this one.
