--- a/Source/admission/cost_order.h
+++ b/Source/admission/cost_order.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "decision/bottleneck_cost.h"
 #include "decision/importance.h"
-#include "decision/narrowest_cost.h"
 #include "decision/shedding_position.h"
 
 #include <chrono>
@@ -25,7 +25,7 @@
     void arrived(const std::string& requestClass, importance, time_point now);
 
     // Records the cost of an answered request, as reported by its call chain.
-    void served(const std::string& requestClass, const narrowest_cost&);
+    void served(const std::string& requestClass, const bottleneck_cost&);
 
     // The position of a request of the class, given the one that results from its hash.
     shedding_position adjustedPosition(const std::string& requestClass, shedding_position hashPosition) const;
--- a/Source/call/call_answer.h
+++ b/Source/call/call_answer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "call/http_field.h"
-#include "decision/narrowest_cost.h"
+#include "decision/bottleneck_cost.h"
 #include "decision/shedding_position.h"
 #include "decision/ticket.h"
 #include "decision/verdict.h"
@@ -34,7 +34,7 @@
     // requests on behalf of the deepest service.
     shedding_position cut = 0;
     // Slot time that the request used at the service with that cut.
-    narrowest_cost cost;
+    bottleneck_cost cost;
     // Calls to another availability zone that were made for the request below the answering
     // node.
     std::uint32_t zoneCrossings = 0;
--- a/Source/node/routed_calls.h
+++ b/Source/node/routed_calls.h
@@ -32,7 +32,7 @@
     // The local backend server terminated while it had requests.
     std::function<void(const server_end&)> serverEnded;
     // As in entry_hooks.
-    std::function<content_standing(request_fingerprint)> standingOf;
+    std::function<poison_status(request_fingerprint)> standingOf;
     // The local backend server answered a request of this content.
     std::function<void(request_fingerprint)> contentServed;
     // As in entry_hooks.
--- a/Source/node/routed_entry.cpp
+++ b/Source/node/routed_entry.cpp
@@ -154,7 +154,7 @@
     context.position = sheddingPosition(context.level, context.requestId);
     context.idempotent = matchedRoute->idempotent;
     context.deadline = std::min(request.deadline, now + matchedRoute->timeout);
-    if (standingOf(call) == content_standing::Poison) {
+    if (standingOf(call) == poison_status::Poison) {
         m_calls.emplace(callId, std::move(call));
         refusePoison(callId, now);
         return callId;
@@ -270,9 +270,9 @@
 // 10 ms; if targets let calls wait, it is 0.89 and 0.20 (see Tests/FreeSlots). A target that
 // reported its load a moment ago was chosen by that load and is not asked to refuse: among few
 // nodes, this would add calls at the busiest ones.
-std::optional<member> routed_entry::chooseTarget(entry_call& call, content_standing standing, time_point now)
+std::optional<member> routed_entry::chooseTarget(entry_call& call, poison_status standing, time_point now)
 {
-    if (standing == content_standing::NearlyPoison) {
+    if (standing == poison_status::NearlyPoison) {
         return chooseAgreedTarget(call);
     }
     auto excluded = call.triedTargets;
@@ -299,15 +299,15 @@
     return alreadyTried ? std::nullopt : agreed;
 }
 
-content_standing routed_entry::standingOf(const entry_call& call) const
+poison_status routed_entry::standingOf(const entry_call& call) const
 {
-    return m_hooks.standingOf ? m_hooks.standingOf(call.request.context.content) : content_standing::Harmless;
+    return m_hooks.standingOf ? m_hooks.standingOf(call.request.context.content) : poison_status::Harmless;
 }
 
 // The retry advice is the time for which poison is remembered: an earlier retry is refused, too.
 void routed_entry::refusePoison(std::uint64_t callId, time_point now)
 {
-    giveUp(callId, verdict::notRun(verdict_reason::Poison, poisonMemory), "backend servers have terminated while running requests with this content", now);
+    giveUp(callId, verdict::notRun(verdict_reason::Poison, poisonRetention), "backend servers have terminated while running requests with this content", now);
 }
 
 void routed_entry::startAttempt(std::uint64_t callId, time_point now)
@@ -318,7 +318,7 @@
         return;
     }
     auto standing = standingOf(call);
-    if (standing == content_standing::Poison) {
+    if (standing == poison_status::Poison) {
         refusePoison(callId, now);
         return;
     }
--- a/Source/node/routed_entry.h
+++ b/Source/node/routed_entry.h
@@ -67,7 +67,7 @@
     std::function<void(std::uint64_t runId, const onward_report&)> onwardCallEnded;
     // How requests of this content are treated, depending on how many servers terminated while
     // running them. Without the hook every content is harmless.
-    std::function<content_standing(request_fingerprint)> standingOf;
+    std::function<poison_status(request_fingerprint)> standingOf;
     // Same as quota_account::take(), cancel() and giveBack(). Without these hooks organisations
     // have no limits.
     std::function<std::uint64_t(const quota_request&, quota_handler, time_point now)> takeQuota;
@@ -173,9 +173,9 @@
     void releaseQuota(entry_call&, time_point now);
     void learnFromAnswer(const entry_call&, const call_answer&, time_point now);
     void startAttempt(std::uint64_t callId, time_point now);
-    content_standing standingOf(const entry_call&) const;
+    poison_status standingOf(const entry_call&) const;
     void refusePoison(std::uint64_t callId, time_point now);
-    std::optional<member> chooseTarget(entry_call&, content_standing, time_point now);
+    std::optional<member> chooseTarget(entry_call&, poison_status, time_point now);
     std::optional<member> chooseAgreedTarget(entry_call&);
     void recordServerReached(entry_call&, time_point now);
     bool shouldRetry(entry_call&, const call_answer&, std::chrono::microseconds latency, time_point now);
--- a/Source/node/routed_target.h
+++ b/Source/node/routed_target.h
@@ -31,7 +31,7 @@
     std::function<void(const server_end&)> serverEnded;
     // How requests of this content are treated, depending on how many servers terminated while
     // running them. Without the hook every content is harmless.
-    std::function<content_standing(request_fingerprint)> standingOf;
+    std::function<poison_status(request_fingerprint)> standingOf;
     // The backend server answered a request of this content. Server errors don't count: a server
     // that gives up at the deadline might have been terminated by the request a moment later.
     std::function<void(request_fingerprint)> contentServed;
@@ -62,7 +62,7 @@
     // The highest cut at the called service and those below it, and what the call used of the
     // service that has this cut.
     shedding_position cut = 0;
-    narrowest_cost cost {};
+    bottleneck_cost cost {};
     // Calls to another availability zone: this one, if it is such a call, and those below it.
     std::uint32_t zoneCrossings = 0;
 };
@@ -126,7 +126,7 @@
         std::uint64_t sum = 0;
         std::uint32_t calls = 0;
         // The sum over these calls.
-        narrowest_cost cost {};
+        bottleneck_cost cost {};
 
         shedding_position mean() const { return static_cast<shedding_position>(sum / calls); }
     };
@@ -148,7 +148,7 @@
     void recordServed(const call_request&);
     std::optional<verdict> refusalBeforeGate(const call_request&) const;
     void start(std::uint64_t arrivalId, time_point now);
-    content_standing standingOf(const call_request&) const;
+    poison_status standingOf(const call_request&) const;
     bool isBetterElsewhere(time_point now);
     bool isInProgress(request_fingerprint) const;
     std::optional<verdict> refusalOfContent(const call_request&) const;
--- a/Source/routing/free_slot_estimator.h
+++ b/Source/routing/free_slot_estimator.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/fading_mean.h"
+#include "decision/decaying_mean.h"
 
 #include <chrono>
 #include <string>
@@ -23,7 +23,7 @@
 
 private:
     // Share of the answers that report a full target, by service.
-    std::unordered_map<std::string, fading_mean> m_fullShares;
+    std::unordered_map<std::string, decaying_mean> m_fullShares;
 };
 
 }
--- a/Source/routing/target_view.h
+++ b/Source/routing/target_view.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/fading_mean.h"
+#include "decision/decaying_mean.h"
 #include "decision/shedding_position.h"
 #include "decision/verdict.h"
 
@@ -74,7 +74,7 @@
     // Consecutive attempts that failed to connect.
     std::uint32_t m_consecutiveConnectFailures = 0;
     // Share of the attempts whose answer was lost; recent attempts count most.
-    fading_mean m_lossShare;
+    decaying_mean m_lossShare;
     std::uint32_t m_consecutiveFailures = 0;
     // Time since which at least one call is outstanding and no answer has come.
     std::chrono::steady_clock::time_point m_unansweredSince;
@@ -86,7 +86,7 @@
     std::uint32_t m_limit = 0;
     std::optional<double> m_pace;
     std::chrono::steady_clock::time_point m_loadReportedAt;
-    fading_mean m_zoneCrossings;
+    decaying_mean m_zoneCrossings;
 };
 
 }
--- a/Tests/AtMostOnce/at_most_once_test.cpp
+++ b/Tests/AtMostOnce/at_most_once_test.cpp
@@ -1,5 +1,5 @@
 #include "decision/call_progress.h"
-#include "decision/once_ledger.h"
+#include "decision/ticket_ledger.h"
 
 #include <gtest/gtest.h>
 
@@ -12,22 +12,22 @@
 
     using time_point = std::chrono::steady_clock::time_point;
 
-    // An attempt that its caller's node counts as lost, and that may arrive yet.
-    struct delayed_frame {
+    // An attempt that the caller's node considers lost, but that may still arrive.
+    struct delayed_attempt {
         ticket permit;
         std::size_t home;
     };
 
     struct home_node {
         std::uint64_t incarnation;
-        once_ledger ledger;
+        ticket_ledger ledger;
     };
 
-    // One non-idempotent request through a schedule of losses, delays, refusals,
-    // restarts and repeats through other nodes.
+    // Runs one non-idempotent request through a random schedule of losses, delays, refusals,
+    // restarts and repeats at other nodes.
     class schedule {
     public:
-        schedule(std::uint64_t seed, once_rules rules, bool homesLeave)
+        schedule(std::uint64_t seed, ticket_ledger_rules rules, bool homesLeave)
             : m_random(seed)
             , m_rules(rules)
             , m_homesLeave(homesLeave)
@@ -37,43 +37,43 @@
             }
         }
 
-        // Returns what broke; empty if nothing did.
-        std::string play()
+        // Returns the first violation; empty if there is none.
+        std::string execute()
         {
-            std::optional<ticket> brought;
+            std::optional<ticket> callerPermit;
             bool mayHaveRun = false;
             if (m_homesLeave) {
-                brought = m_claimed = mintFor(m_random() % m_homes.size());
+                callerPermit = m_claimed = mintFor(m_random() % m_homes.size());
             }
-            for (int tries = 0; tries < 6 && m_problem.empty(); ++tries) {
+            for (int tries = 0; tries < 6 && m_violation.empty(); ++tries) {
                 call_progress progress(false, 2, mayHaveRun);
-                if (brought) {
-                    progress.setPermit(*brought, permit_origin::Brought);
+                if (callerPermit) {
+                    progress.setPermit(*callerPermit, permit_origin::Received);
                 }
-                auto run = playTry(progress);
-                if (run == execution::Ran) {
+                auto reported = runTry(progress);
+                if (reported == execution::Ran) {
                     break;
                 }
-                if (run == execution::NotRun) {
+                if (reported == execution::NotRun) {
                     check(m_runs == 0, "told not run after it ran");
-                    m_forbiddenSince = m_runs;
+                    m_runsWhenToldNotRun = m_runs;
                 }
-                mayHaveRun = run == execution::MayHaveRun;
-                // A repeat with nothing but its key gets the ticket that its claim names.
-                brought = m_homesLeave && chance(0.5) ? m_claimed : progress.permit();
-                // What is still on its way may arrive before the caller asks again.
-                deliverSome(run == execution::NotRun);
+                mayHaveRun = reported == execution::MayHaveRun;
+                // A repeat that carries only its idempotency key gets the ticket that its claim names.
+                callerPermit = m_homesLeave && chance(0.5) ? m_claimed : progress.permit();
+                // Delayed attempts may arrive before the caller repeats the request.
+                deliverSome(reported == execution::NotRun);
             }
             deliverSome(false);
             check(m_runs <= 1, "ran twice");
-            return m_problem;
+            return m_violation;
         }
 
     private:
         home_node newHome()
         {
             auto incarnation = m_random();
-            return { incarnation, once_ledger(incarnation, m_now, m_rules) };
+            return { incarnation, ticket_ledger(incarnation, m_now, m_rules) };
         }
 
         ticket mintFor(std::size_t home)
@@ -86,14 +86,14 @@
 
         bool chance(double probability) { return std::bernoulli_distribution(probability)(m_random); }
 
-        void check(bool holds, const std::string& what)
+        void check(bool holds, const std::string& violation)
         {
-            if (!holds && m_problem.empty()) {
-                m_problem = what;
+            if (!holds && m_violation.empty()) {
+                m_violation = violation;
             }
         }
 
-        execution playTry(call_progress& progress)
+        execution runTry(call_progress& progress)
         {
             if (progress.mustNotRun()) {
                 return execution::MayHaveRun;
@@ -117,7 +117,7 @@
             }
         }
 
-        // The home of the ticket, by a view of the members that may be behind.
+        // The home of the ticket, by a view of the members that may be outdated.
         std::size_t targetOf(const call_progress& progress)
         {
             if (!progress.permit()) {
@@ -128,7 +128,7 @@
                     return i;
                 }
             }
-            // A restarted home may still be called by its old identity.
+            // A restarted home may still be called under its old incarnation.
             return chance(0.5) ? m_random() % m_homes.size() : m_homes.size();
         }
 
@@ -139,7 +139,7 @@
             }
             if (chance(0.3)) {
                 m_delayed.push_back({ permit, home });
-                maybeRestart();
+                restartSometimes();
                 return { verdict::mayHaveRun(verdict_reason::AnswerLost), 0, 0, false };
             }
             auto result = arrive(permit, home);
@@ -149,7 +149,7 @@
             return result;
         }
 
-        void maybeRestart()
+        void restartSometimes()
         {
             if (chance(0.1)) {
                 m_homes[m_random() % m_homes.size()] = newHome();
@@ -160,13 +160,13 @@
         {
             auto& ledger = m_homes[home].ledger;
             switch (ledger.begin(permit, m_now)) {
-            case ledger_finding::Run:
+            case ticket_state::Run:
                 break;
-            case ledger_finding::Ran:
+            case ticket_state::Ran:
                 return { verdict::answered(), 1, 0, false };
-            case ledger_finding::Superseded:
+            case ticket_state::Superseded:
                 return { verdict::notRun(verdict_reason::TicketNeeded), 1, ledger.nextUse(permit.nonce), false };
-            case ledger_finding::HandedOver:
+            case ticket_state::HandedOver:
                 if (!m_rules.oneSuccessor) {
                     ledger.handOver(permit.nonce, mintFor(otherThan(home)));
                 }
@@ -197,31 +197,31 @@
                 arrive(m_delayed.back().permit, m_delayed.back().home);
                 m_delayed.pop_back();
             }
-            check(!toldNotRun || m_runs == m_forbiddenSince, "ran after its caller was told that it was not run");
+            check(!toldNotRun || m_runs == m_runsWhenToldNotRun, "ran after its caller was told that it was not run");
         }
 
         std::mt19937_64 m_random;
-        once_rules m_rules;
-        // Homes hand over what they refuse, and callers repeat with their keys.
+        ticket_ledger_rules m_rules;
+        // Homes hand over the tickets of refused calls, and callers repeat with their idempotency keys.
         bool m_homesLeave;
         std::optional<ticket> m_claimed;
         time_point m_now;
         std::vector<home_node> m_homes;
-        std::vector<delayed_frame> m_delayed;
+        std::vector<delayed_attempt> m_delayed;
         int m_runs = 0;
-        int m_forbiddenSince = 0;
-        std::string m_problem;
+        int m_runsWhenToldNotRun = 0;
+        std::string m_violation;
     };
 
-    constexpr std::uint64_t schedules = 20000;
+    constexpr std::uint64_t scheduleCount = 20000;
 
-    // The first problem of many schedules; empty if none has one.
-    std::string firstProblem(once_rules rules, bool homesLeave = false)
+    // The first violation in any of the schedules; empty if there is none.
+    std::string firstViolation(ticket_ledger_rules rules, bool homesLeave = false)
     {
-        for (std::uint64_t seed = 1; seed <= schedules; ++seed) {
-            auto problem = schedule(seed, rules, homesLeave).play();
-            if (!problem.empty()) {
-                return problem + " (seed " + std::to_string(seed) + ")";
+        for (std::uint64_t seed = 1; seed <= scheduleCount; ++seed) {
+            auto violation = schedule(seed, rules, homesLeave).execute();
+            if (!violation.empty()) {
+                return violation + " (seed " + std::to_string(seed) + ")";
             }
         }
         return {};
@@ -231,76 +231,76 @@
 
 TEST(AtMostOnce, HoldsUnderLossDelayRestartAndRepeats)
 {
-    EXPECT_EQ(firstProblem({}), "");
+    EXPECT_EQ(firstViolation({}), "");
 }
 
 TEST(AtMostOnce, BreaksIfARefusalDoesNotEndTheUse)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.refusalEndsUse = false;
-    EXPECT_NE(firstProblem(rules), "");
+    EXPECT_NE(firstViolation(rules), "");
 }
 
 TEST(AtMostOnce, BreaksIfAForeignTicketRuns)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.foreignNeverRuns = false;
-    EXPECT_NE(firstProblem(rules), "");
+    EXPECT_NE(firstViolation(rules), "");
 }
 
 TEST(AtMostOnce, BreaksIfRunsAreForgotten)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.remembersRuns = false;
-    EXPECT_NE(firstProblem(rules), "");
+    EXPECT_NE(firstViolation(rules), "");
 }
 
 TEST(AtMostOnce, HoldsWhileHomesLeaveAndHandOver)
 {
-    EXPECT_EQ(firstProblem({}, true), "");
+    EXPECT_EQ(firstViolation({}, true), "");
 }
 
 TEST(AtMostOnce, BreaksIfATicketHasTwoSuccessors)
 {
-    once_rules rules;
+    ticket_ledger_rules rules;
     rules.oneSuccessor = false;
-    EXPECT_NE(firstProblem(rules, true), "");
+    EXPECT_NE(firstViolation(rules, true), "");
 }
 
 TEST(AtMostOnce, ATicketThatWasHandedOverNeverRunsAtItsHome)
 {
     time_point start;
-    once_ledger ledger(7, start);
+    ticket_ledger ledger(7, start);
     ticket permit { 7, std::chrono::milliseconds(100), 1, 0, false };
     ticket successor { 8, std::chrono::milliseconds(100), 2, 0, false };
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::Run);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::Run);
     ledger.refused(1);
     ledger.handOver(1, successor);
     permit.use = ledger.nextUse(1);
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::HandedOver);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::HandedOver);
     ASSERT_NE(ledger.successor(1), nullptr);
     EXPECT_EQ(*ledger.successor(1), successor);
     EXPECT_EQ(ledger.forgetExpired(start + std::chrono::milliseconds(100)).size(), 1U);
     EXPECT_EQ(ledger.successor(1), nullptr);
 }
 
-TEST(AtMostOnce, AnExpiredTicketIsNeitherRunNorCalledUnrun)
+TEST(AtMostOnce, AnExpiredTicketIsNeitherRunNorReportedAsNotRun)
 {
     time_point start;
-    once_ledger ledger(7, start);
+    ticket_ledger ledger(7, start);
     ticket permit { 7, std::chrono::milliseconds(100), 1, 0, false };
-    EXPECT_EQ(ledger.begin(permit, start + std::chrono::milliseconds(100)), ledger_finding::Expired);
+    EXPECT_EQ(ledger.begin(permit, start + std::chrono::milliseconds(100)), ticket_state::Expired);
 }
 
-TEST(AtMostOnce, AWaitingTicketIsNotForgottenAndARunOneIsInTime)
+TEST(AtMostOnce, OnlyTicketsThatAreNotRunningAreForgottenOnceExpired)
 {
     time_point start;
-    once_ledger ledger(7, start);
+    ticket_ledger ledger(7, start);
     ticket permit { 7, std::chrono::milliseconds(100), 1, 0, false };
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::Run);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::Run);
     EXPECT_TRUE(ledger.forgetExpired(start + std::chrono::milliseconds(100)).empty());
     ledger.ran(1);
-    EXPECT_EQ(ledger.begin(permit, start), ledger_finding::Ran);
+    EXPECT_EQ(ledger.begin(permit, start), ticket_state::Ran);
     EXPECT_EQ(ledger.forgetExpired(start + std::chrono::milliseconds(100)).size(), 1U);
     EXPECT_EQ(ledger.size(), 0U);
 }
--- a/Tests/RoutedEntry/routed_entry_test.cpp
+++ b/Tests/RoutedEntry/routed_entry_test.cpp
@@ -101,7 +101,7 @@
         std::optional<parent_run> parent;
         // Contents that have the standing below; all others are harmless.
         std::vector<request_fingerprint> listedContents;
-        content_standing standing = content_standing::Poison;
+        poison_status standing = poison_status::Poison;
 
     private:
         static entry_settings settings(double slack)
@@ -130,7 +130,7 @@
                 }
             };
             result.standingOf = [this](request_fingerprint content) {
-                return std::count(listedContents.begin(), listedContents.end(), content) != 0 ? standing : content_standing::Harmless;
+                return std::count(listedContents.begin(), listedContents.end(), content) != 0 ? standing : poison_status::Harmless;
             };
             result.findParent = [this](const entry_request&) { return parent; };
             result.onwardCallEnded = [this](std::uint64_t, const onward_report& report) { onwardCuts.push_back(report.cut); };
@@ -522,7 +522,7 @@
     ASSERT_EQ(harness.answers.size(), 1U);
     EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
     EXPECT_EQ(harness.answers.back().outcome.reason, verdict_reason::Poison);
-    EXPECT_EQ(harness.answers.back().outcome.retryAfter, poisonMemory);
+    EXPECT_EQ(harness.answers.back().outcome.retryAfter, poisonRetention);
     harness.arrive("/x/2");
     EXPECT_EQ(harness.sent.size(), 1U);
 }
@@ -540,7 +540,7 @@
     EXPECT_EQ(harness.answers.back().refusalStatus, 502U);
     harness.listedContents.clear();
     harness.arrive();
-    harness.answer(verdict::notRun(verdict_reason::Poison, poisonMemory));
+    harness.answer(verdict::notRun(verdict_reason::Poison, poisonRetention));
     EXPECT_EQ(harness.sent.size(), 2U);
     EXPECT_EQ(harness.answers.back().refusalStatus, 503U);
 }
@@ -552,7 +552,7 @@
     std::set<std::uint64_t> usualTargets;
     entry_harness harness;
     harness.configure();
-    harness.standing = content_standing::NearlyPoison;
+    harness.standing = poison_status::NearlyPoison;
     harness.listedContents = { fingerprintOf("/x/1", "") };
     constexpr int copies = 40;
     for (int copy = 0; copy < copies; ++copy) {
--- a/Tests/RoutedTarget/routed_target_test.cpp
+++ b/Tests/RoutedTarget/routed_target_test.cpp
@@ -73,7 +73,7 @@
         std::string path = "/x/1";
         // Contents that have the standing below; all others are harmless.
         std::vector<request_fingerprint> listedContents;
-        content_standing standing = content_standing::Poison;
+        poison_status standing = poison_status::Poison;
         int serverChecks = 0;
         std::vector<server_end> serverEnds;
         std::vector<request_fingerprint> servedContents;
@@ -88,7 +88,7 @@
             result.checkServer = [this] { ++serverChecks; };
             result.serverEnded = [this](const server_end& end) { serverEnds.push_back(end); };
             result.standingOf = [this](request_fingerprint content) {
-                return std::count(listedContents.begin(), listedContents.end(), content) != 0 ? standing : content_standing::Harmless;
+                return std::count(listedContents.begin(), listedContents.end(), content) != 0 ? standing : poison_status::Harmless;
             };
             result.contentServed = [this](request_fingerprint content) { servedContents.push_back(content); };
             result.random = [this] { return ++m_lastId; };
@@ -389,7 +389,7 @@
 TEST(RoutedTarget, RunsCallsOfASuspectContentOneAtATime)
 {
     target_harness harness;
-    harness.standing = content_standing::Suspect;
+    harness.standing = poison_status::Suspect;
     harness.listedContents = { fingerprintOf("/x/1", "") };
     harness.arrive();
     harness.arrive();
