--- a/Source/admission/concurrency_limit.cpp
+++ b/Source/admission/concurrency_limit.cpp
@@ -63,11 +63,11 @@
 double concurrency_limit::coldStartFraction(std::chrono::steady_clock::time_point now) const
 {
     auto elapsed = std::chrono::duration<double>(now - m_announcedAt);
-    auto whole = std::chrono::duration<double>(m_coldStart);
-    if (elapsed >= whole) {
+    auto rampTime = std::chrono::duration<double>(m_coldStart);
+    if (elapsed >= rampTime) {
         return 1;
     }
-    return initialColdFraction + (1 - initialColdFraction) * (elapsed / whole);
+    return initialColdFraction + (1 - initialColdFraction) * (elapsed / rampTime);
 }
 
 std::uint32_t concurrency_limit::get(std::chrono::steady_clock::time_point now) const
--- a/Source/admission/min_service_times.h
+++ b/Source/admission/min_service_times.h
@@ -11,7 +11,7 @@
 
 namespace vanillashunt {
 
-// Identifies a request class within one instance of min_service_times; serves as an array
+// Identifies a request class within one min_service_times object; serves as an array
 // index.
 using class_index = std::uint32_t;
 
