--- a/Source/node/actor_host.cpp
+++ b/Source/node/actor_host.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-    // Messages that an actor handles before the sockets have their turn again.
-    constexpr std::size_t messagesPerTurn = 50;
+    // Messages that an actor handles before the io_context serves the sockets again.
+    constexpr std::size_t maxMessagesPerResume = 50;
 
 }
 
@@ -28,7 +28,7 @@
 void actor_host::exec_later(caf::resumable* actor)
 {
     boost::asio::post(m_context, [this, actor] {
-        switch (actor->resume(this, messagesPerTurn)) {
+        switch (actor->resume(this, maxMessagesPerResume)) {
         case caf::resumable::resume_later:
             exec_later(actor);
             return;
--- a/Source/node/actor_host.h
+++ b/Source/node/actor_host.h
@@ -11,15 +11,15 @@
 
 namespace vanillashunt {
 
-// Runs actors on the thread of an io_context, so that a message between a
-// socket and an actor costs no change of thread.
+// Runs actors on the thread of an io_context, so that passing a message between
+// a socket and an actor needs no thread switch.
 class actor_host : public caf::execution_unit {
 public:
     actor_host(caf::actor_system&, boost::asio::io_context&);
 
     void exec_later(caf::resumable*) override;
 
-    // Sends a message from outside of any actor.
+    // Sends a message that has no actor as its sender.
     template <typename Message>
     void send(const caf::actor& receiver, Message&& message)
     {
@@ -27,8 +27,9 @@
         caf::actor_cast<caf::strong_actor_ptr>(receiver)->enqueue(std::move(element), this);
     }
 
-    // Ends an actor that may still have mail. Its turn has to come before the
-    // actor system is destroyed, which waits for every actor.
+    // Terminates an actor, even if its mailbox holds messages. The io_context has to
+    // run the actor once more before the actor system is destroyed, whose destructor
+    // waits for every actor.
     void end(const caf::actor&);
 
 private:
--- a/Source/node/admission_dump.h
+++ b/Source/node/admission_dump.h
@@ -7,10 +7,11 @@
 
 namespace vanillashunt {
 
-// The gate before the own backend server, as docs/operating/reading-overload.md explains it.
+// Dumps the admission gate of the local backend server. docs/operating/reading-overload.md
+// explains the fields.
 Json::Value dumpGate(const admission_gate&);
 
-// The gate for whole requests that enter at this node.
+// Dumps the gate for whole requests that enter at this node.
 Json::Value dumpEntrance(const entrance_gate&);
 
 }
--- a/Source/node/call_actor.cpp
+++ b/Source/node/call_actor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // A store that is slower than this is as good as down for a caller that waits.
+    // To a waiting caller, a store slower than this is no better than one that is down.
     constexpr std::chrono::milliseconds claimTimeout { 250 };
 
     std::chrono::steady_clock::time_point currentTime()
@@ -19,19 +19,19 @@
 
 }
 
-call_actor::call_actor(caf::actor_config& config, call_actor_parts parts)
+call_actor::call_actor(caf::actor_config& config, call_actor_parameters parameters)
     : caf::event_based_actor(config)
-    , m_parts(std::move(parts))
-    , m_inbound(m_parts.incarnation, m_parts.started, inboundHooks(), admissionSettings())
-    , m_outbound(router(m_parts.place, [random = m_parts.random](std::uint64_t bound) { return random() % bound; }),
-          m_inbound, outboundHooks(), m_parts.policy)
+    , m_parameters(std::move(parameters))
+    , m_inbound(m_parameters.incarnation, m_parameters.started, inboundHooks(), admissionSettings())
+    , m_outbound(router(m_parameters.location, [random = m_parameters.random](std::uint64_t bound) { return random() % bound; }),
+          m_inbound, outboundHooks(), m_parameters.policy)
 {
 }
 
 template <typename Message>
 void call_actor::sendSelf(Message message)
 {
-    m_parts.host->send(caf::actor_cast<caf::actor>(this), std::move(message));
+    m_parameters.host->send(caf::actor_cast<caf::actor>(this), std::move(message));
 }
 
 inbound_hooks call_actor::inboundHooks()
@@ -39,20 +39,20 @@
     inbound_hooks hooks;
     hooks.run = [this](std::uint64_t runId, const std::string& address, const call_request& request) { runAtBackend(runId, address, request); };
     hooks.cancelRun = [this](std::uint64_t runId) { cancelRun(runId); };
-    hooks.abandoned = [this](std::uint64_t runId) { m_outbound.cancelOnwardOf(runId, currentTime()); };
-    hooks.otherHome = [this](const std::string& service, std::chrono::steady_clock::time_point now) { return m_outbound.homeBeside(m_parts.incarnation, service, now); };
+    hooks.runAbandoned = [this](std::uint64_t runId) { m_outbound.cancelOnwardCalls(runId, currentTime()); };
+    hooks.findOtherHome = [this](const std::string& service, std::chrono::steady_clock::time_point now) { return m_outbound.chooseHomeExcept(m_parameters.incarnation, service, now); };
     hooks.handedOver = [](const std::string& requestId, const member& home) {
         logEvent(events::ticketHandedOver, { { "request_id", requestId }, { "home", home.name } });
     };
-    hooks.random = m_parts.random;
+    hooks.random = m_parameters.random;
     return hooks;
 }
 
 admission_settings call_actor::admissionSettings() const
 {
     admission_settings settings;
-    settings.policy = m_parts.policy;
-    settings.chance = [random = m_parts.random](std::uint64_t bound) { return random() % bound; };
+    settings.policy = m_parameters.policy;
+    settings.chance = [random = m_parameters.random](std::uint64_t bound) { return random() % bound; };
     return settings;
 }
 
@@ -61,14 +61,14 @@
     outbound_hooks hooks;
     hooks.send = [this](std::uint64_t attemptId, const member& target, const call_request& request) { sendAttempt(attemptId, target, request); };
     hooks.cancelAttempt = [this](std::uint64_t attemptId) { cancelAttempt(attemptId); };
-    hooks.ended = m_parts.callEnded;
+    hooks.attemptEnded = m_parameters.attemptEnded;
     hooks.claim = [this](std::uint64_t callId, const std::string& organisation, const std::string& key, const ticket& permit) {
-        m_parts.claims->claim(organisation, key, permit, claimTimeout, [this, callId](const claim_result& result) {
+        m_parameters.claims->claim(organisation, key, permit, claimTimeout, [this, callId](const claim_result& result) {
             sendSelf(claim_answered { callId, result });
         });
     };
-    hooks.random = m_parts.random;
-    hooks.observed = m_parts.observed;
+    hooks.random = m_parameters.random;
+    hooks.observed = m_parameters.observed;
     return hooks;
 }
 
@@ -80,14 +80,14 @@
         [this](const peer_call_arrived& message) { peerCallArrived(message); },
         [this](const peer_call_cancelled& message) { m_inbound.cancel(message.arrivalId, currentTime()); },
         [this](const attempt_answered& message) {
-            m_peerCallOfAttempt.erase(message.attemptId);
-            m_arrivalOfOwnAttempt.erase(message.attemptId);
+            m_peerCallByAttempt.erase(message.attemptId);
+            m_arrivalByLocalAttempt.erase(message.attemptId);
             m_outbound.attemptAnswered(message.attemptId, message.answer, currentTime());
         },
         [this](const run_answered& message) {
-            m_backendCallOfRun.erase(message.runId);
+            m_backendCallByRun.erase(message.runId);
             if (message.answer.outcome.run == execution::Ran) {
-                m_parts.backendAnswered();
+                m_parameters.backendAnswered();
             }
             m_inbound.backendAnswered(message.runId, message.answer, currentTime());
         },
@@ -134,46 +134,46 @@
 void call_actor::sendAttempt(std::uint64_t attemptId, const member& target, const call_request& request)
 {
     auto answered = [this, attemptId](const call_answer& answer) { sendSelf(attempt_answered { attemptId, answer }); };
-    if (target.id == m_parts.incarnation) {
+    if (target.id == m_parameters.incarnation) {
         auto observed = [this, answered, context = request.context](const call_answer& answer) {
             observeRejection(context, answer);
             answered(answer);
         };
-        m_arrivalOfOwnAttempt[attemptId] = m_inbound.arrive(request, observed, currentTime());
+        m_arrivalByLocalAttempt[attemptId] = m_inbound.arrive(request, observed, currentTime());
         return;
     }
-    m_peerCallOfAttempt[attemptId] = m_parts.peers->start(target.address, request, answered);
+    m_peerCallByAttempt[attemptId] = m_parameters.peers->start(target.address, request, answered);
 }
 
 void call_actor::cancelAttempt(std::uint64_t attemptId)
 {
-    if (auto own = m_arrivalOfOwnAttempt.extract(attemptId)) {
-        m_inbound.cancel(own.mapped(), currentTime());
+    if (auto localArrival = m_arrivalByLocalAttempt.extract(attemptId)) {
+        m_inbound.cancel(localArrival.mapped(), currentTime());
     }
-    if (auto peer = m_peerCallOfAttempt.extract(attemptId)) {
-        m_parts.peers->cancel(peer.mapped());
+    if (auto peerCall = m_peerCallByAttempt.extract(attemptId)) {
+        m_parameters.peers->cancel(peerCall.mapped());
     }
 }
 
 void call_actor::runAtBackend(std::uint64_t runId, const std::string& address, const call_request& request)
 {
     auto context = toString(context_text { request.context.requestId, runId, 0, false, 0 });
-    m_backendCallOfRun[runId] = m_parts.backend->run(address, request, context, currentTime(), [this, runId](call_answer answer) {
+    m_backendCallByRun[runId] = m_parameters.backend->run(address, request, context, currentTime(), [this, runId](call_answer answer) {
         sendSelf(run_answered { runId, std::move(answer) });
     });
 }
 
 void call_actor::cancelRun(std::uint64_t runId)
 {
-    if (auto call = m_backendCallOfRun.extract(runId)) {
-        m_parts.backend->cancel(call.mapped());
+    if (auto call = m_backendCallByRun.extract(runId)) {
+        m_parameters.backend->cancel(call.mapped());
     }
 }
 
 void call_actor::observeRejection(const request_context& context, const call_answer& answer) const
 {
     if (answer.outcome.run == execution::NotRun) {
-        m_parts.observed({ call_decision::Rejected, context, currentTime(), answer.outcome, "at the own backend server" });
+        m_parameters.observed({ call_decision::Rejected, context, currentTime(), answer.outcome, "at the local backend server" });
     }
 }
 
--- a/Source/node/call_actor.h
+++ b/Source/node/call_actor.h
@@ -13,30 +13,30 @@
 
 namespace vanillashunt {
 
-// What the call actor is made of; all of it outlives the actor.
-struct call_actor_parts {
+// Constructor parameters of call_actor. The objects pointed to outlive the actor.
+struct call_actor_parameters {
     actor_host* host = nullptr;
     peer_client* peers = nullptr;
     backend_client* backend = nullptr;
     claim_store* claims = nullptr;
     std::function<std::uint64_t()> random;
-    // Told of each attempt at another member, and whether anything came back.
-    std::function<void(std::uint64_t memberId, bool answered)> callEnded;
-    // Told of each call that the backend server answered.
+    // Called when an attempt at a member has ended; answered tells whether the member responded.
+    std::function<void(std::uint64_t memberId, bool answered)> attemptEnded;
+    // Called for each call that the backend server answered.
     std::function<void()> backendAnswered;
-    // Told of each step of each call.
+    // Called for each step of each call.
     call_observer observed;
     admission_policy policy = admission_policy::Full;
     std::uint64_t incarnation = 0;
     std::chrono::steady_clock::time_point started;
-    node_place place;
+    node_place location;
 };
 
-// Owns the calls in progress of one node, in both directions, and turns the
-// decisions of inbound_calls and outbound_calls into messages on the sockets.
+// Owns the inbound and outbound calls in progress of one node, and carries out the
+// decisions of inbound_calls and outbound_calls by sending messages on the sockets.
 class call_actor : public caf::event_based_actor {
 public:
-    call_actor(caf::actor_config&, call_actor_parts);
+    call_actor(caf::actor_config&, call_actor_parameters);
 
     caf::behavior make_behavior() override;
 
@@ -54,17 +54,17 @@
     void tick();
     Json::Value dump() const;
 
-    // Sends a message to this actor from a socket's handler.
+    // Sends a message to this actor from a socket's completion handler.
     template <typename Message>
     void sendSelf(Message message);
 
-    call_actor_parts m_parts;
+    call_actor_parameters m_parameters;
     inbound_calls m_inbound;
     outbound_calls m_outbound;
-    // What each attempt or run is called by the client that carries it.
-    std::unordered_map<std::uint64_t, std::uint64_t> m_peerCallOfAttempt;
-    std::unordered_map<std::uint64_t, std::uint64_t> m_arrivalOfOwnAttempt;
-    std::unordered_map<std::uint64_t, std::uint64_t> m_backendCallOfRun;
+    // Map the id of an attempt or run to the id that its client or inbound_calls uses for it.
+    std::unordered_map<std::uint64_t, std::uint64_t> m_peerCallByAttempt;
+    std::unordered_map<std::uint64_t, std::uint64_t> m_arrivalByLocalAttempt;
+    std::unordered_map<std::uint64_t, std::uint64_t> m_backendCallByRun;
 };
 
 }
--- a/Source/node/call_messages.h
+++ b/Source/node/call_messages.h
@@ -19,7 +19,7 @@
 
 namespace vanillashunt {
 
-// The messages of the call actor. None of them leaves the process.
+// The messages that call_actor handles. They never leave the process.
 
 struct caller_arrived {
     caller_request request;
@@ -69,7 +69,7 @@
 struct backend_withdrawn {
 };
 
-// Refuse new work, or take it again.
+// Tells whether to refuse new calls.
 struct drain_changed {
     bool draining;
 };
@@ -79,12 +79,12 @@
     call_intake intake;
 };
 
-// Asks to answer every caller now and to accept no more calls; done is called afterwards.
+// Requests that every caller is answered now and that no more calls are accepted; done is called afterwards.
 struct end_calls_requested {
     std::function<void()> done;
 };
 
-// Asks how many calls are in progress, in both directions.
+// Requests the number of inbound and outbound calls in progress.
 struct progress_requested {
     std::function<void(std::size_t inbound, std::size_t outbound)> receiver;
 };
@@ -92,7 +92,7 @@
 struct clock_tick {
 };
 
-// Asks for the actor's part of the dump.
+// Requests the actor's part of the dump.
 struct state_requested {
     std::function<void(const Json::Value&)> receiver;
 };
--- a/Source/node/configuration_service.cpp
+++ b/Source/node/configuration_service.cpp
@@ -11,41 +11,42 @@
 
     using std::chrono::milliseconds;
 
-    // Watchers for each availability zone: one to watch, one in case it dies.
+    // Watchers in each availability zone; the second takes over if the first fails.
     constexpr std::size_t watchersPerZone = 2;
 
-    constexpr milliseconds stepPeriod { 500 };
+    constexpr milliseconds pollPeriod { 500 };
     constexpr milliseconds storeTimeout { 2000 };
     constexpr milliseconds peerTimeout { 2000 };
 
-    // A watcher reads everything again this often, since a watch may hang.
+    // How often a watcher reads all contracts again, since a watch may hang unnoticed.
     constexpr milliseconds rereadPeriod { 15000 };
 
-    // How long a node waits after a failed call of the store; doubled each time.
-    constexpr milliseconds firstBackoff { 500 };
-    constexpr milliseconds longestBackoff { 15000 };
-    constexpr std::uint32_t mostDoublings = 5;
+    // Delay after a failed call to the store; doubles with each consecutive failure.
+    constexpr milliseconds initialBackoff { 500 };
+    constexpr milliseconds maxBackoff { 15000 };
+    constexpr std::uint32_t maxDoublings = 5;
 
-    contract_news newsOf(const store_range& range, std::int64_t since)
+    contract_news updateFrom(const store_range& range, std::int64_t since)
     {
-        // The store's own revision rises with every claim and seed; only the
-        // contracts' revisions are to set the fleet in motion.
-        contract_news news;
-        news.since = since;
+        // The store's own revision also rises with every claim and seed. Only the
+        // revisions of contracts count here, or each of those writes would make
+        // every node fetch the contracts.
+        contract_news update;
+        update.since = since;
         for (const auto& entry : range.entries) {
-            news.entries.push_back({ entry.value, entry.modRevision });
-            news.revision = std::max(news.revision, entry.modRevision);
+            update.entries.push_back({ entry.value, entry.modRevision });
+            update.revision = std::max(update.revision, entry.modRevision);
         }
-        return news;
+        return update;
     }
 
-    Json::Value toJson(const contract_news& news)
+    Json::Value toJson(const contract_news& update)
     {
         Json::Value value;
-        value["since"] = Json::Int64(news.since);
-        value["revision"] = Json::Int64(news.revision);
+        value["since"] = Json::Int64(update.since);
+        value["revision"] = Json::Int64(update.revision);
         value["contracts"] = Json::arrayValue;
-        for (const auto& entry : news.entries) {
+        for (const auto& entry : update.entries) {
             Json::Value item;
             item["text"] = entry.text;
             item["revision"] = Json::Int64(entry.revision);
@@ -54,21 +55,21 @@
         return value;
     }
 
-    std::optional<contract_news> readNews(const Json::Value& value)
+    std::optional<contract_news> parseUpdate(const Json::Value& value)
     {
         if (!value.isObject() || !value["since"].isInt64() || !value["revision"].isInt64() || !value["contracts"].isArray()) {
             return std::nullopt;
         }
-        contract_news news;
-        news.since = value["since"].asInt64();
-        news.revision = value["revision"].asInt64();
+        contract_news update;
+        update.since = value["since"].asInt64();
+        update.revision = value["revision"].asInt64();
         for (const auto& item : value["contracts"]) {
             if (!item.isObject() || !item["text"].isString() || !item["revision"].isInt64()) {
                 return std::nullopt;
             }
-            news.entries.push_back({ item["text"].asString(), item["revision"].asInt64() });
+            update.entries.push_back({ item["text"].asString(), item["revision"].asInt64() });
         }
-        return news;
+        return update;
     }
 
 }
@@ -87,22 +88,22 @@
 
 void configuration_service::start()
 {
-    // A fleet that starts at once comes to the store one by one.
-    scheduleStep(spread(stepPeriod) / 2);
+    // A random delay keeps nodes that start at the same time from reading the store at once.
+    schedulePoll(withJitter(pollPeriod) / 2);
 }
 
-milliseconds configuration_service::spread(milliseconds length) const
+milliseconds configuration_service::withJitter(milliseconds duration) const
 {
-    auto half = static_cast<std::uint64_t>(length.count()) / 2;
-    return milliseconds(half + m_hooks.chance(half + 1));
+    auto half = static_cast<std::uint64_t>(duration.count()) / 2;
+    return milliseconds(half + m_hooks.randomBelow(half + 1));
 }
 
-void configuration_service::scheduleStep(milliseconds wait)
+void configuration_service::schedulePoll(milliseconds delay)
 {
-    m_timer.expires_after(wait);
+    m_timer.expires_after(delay);
     m_timer.async_wait([this](boost::system::error_code error) {
         if (!error) {
-            step();
+            poll();
         }
     });
 }
@@ -112,34 +113,34 @@
     m_members = members;
 }
 
-bool configuration_service::isDutyWatcher() const
+bool configuration_service::isStoreWatcher() const
 {
     std::vector<std::uint64_t> candidates;
-    for (const auto& each : *m_members) {
-        if (each.availabilityZone == m_settings.availabilityZone && each.state == member_state::Alive) {
-            candidates.push_back(each.id);
+    for (const auto& candidate : *m_members) {
+        if (candidate.availabilityZone == m_settings.availabilityZone && candidate.state == member_state::Alive) {
+            candidates.push_back(candidate.id);
         }
     }
     return rendezvousRank(m_settings.selfId, candidates, watchersPerZone).has_value();
 }
 
-void configuration_service::step()
+void configuration_service::poll()
 {
     auto now = std::chrono::steady_clock::now();
     if (std::exchange(m_watchEnded, false)) {
         m_watch.reset();
     }
-    bool watcher = isDutyWatcher();
+    bool watcher = isStoreWatcher();
     if (!watcher) {
         m_watch.reset();
     }
-    scheduleStep(spread(stepPeriod));
+    schedulePoll(withJitter(pollPeriod));
     if (now < m_nextRead || m_settings.endpoints.empty()) {
         catchUpFromPeer();
         return;
     }
-    bool others = m_members->size() > 1;
-    if (watcher || (!m_readOnce && !others)) {
+    bool hasOtherMembers = m_members->size() > 1;
+    if (watcher || (!m_hasReadStore && !hasOtherMembers)) {
         readStore();
     } else {
         catchUpFromPeer();
@@ -148,75 +149,75 @@
 
 void configuration_service::readStore()
 {
-    m_nextRead = std::chrono::steady_clock::now() + spread(rereadPeriod);
+    m_nextRead = std::chrono::steady_clock::now() + withJitter(rereadPeriod);
     ++m_counts.ranges;
     m_store.rangePrefix(contractPrefix, storeTimeout, [this](store_result<store_range> result) {
         if (const auto* failure = std::get_if<store_failure>(&result)) {
             storeFailed(failure->message);
             return;
         }
-        m_failuresInRow = 0;
-        m_readOnce = true;
+        m_consecutiveFailures = 0;
+        m_hasReadStore = true;
         const auto& range = std::get<store_range>(result);
-        // A watch that has kept silent about news may hang.
-        if (take(newsOf(range, 0))) {
+        // The watch should have reported these changes before; it may hang.
+        if (take(updateFrom(range, 0))) {
             m_watch.reset();
         }
-        if (!m_watch && isDutyWatcher()) {
+        if (!m_watch && isStoreWatcher()) {
             startWatch(range.revision + 1);
         }
     });
 }
 
-// Begins where the store has just been read: the contracts' own revision may lie
-// so far back that the store has compacted what came after it.
+// Starts at the store revision that has just been read. The newest contract's
+// revision may be so old that the store has already compacted the revisions after it.
 void configuration_service::startWatch(std::int64_t fromRevision)
 {
     ++m_counts.watches;
     m_watchEnded = false;
     store_watch_hooks hooks;
-    hooks.changed = [this](const store_range& range) { take(newsOf(range, m_book.revision())); };
-    hooks.ended = [this](const std::string& why) {
+    hooks.changed = [this](const store_range& range) { take(updateFrom(range, m_book.revision())); };
+    hooks.ended = [this](const std::string& reason) {
         m_watchEnded = true;
         ++m_nextEndpoint;
-        storeFailed(why);
+        storeFailed(reason);
     };
     const auto& endpoint = m_settings.endpoints[m_nextEndpoint % m_settings.endpoints.size()];
     m_watch = std::make_unique<store_watch>(m_context, endpoint, m_settings.outgoingAddress, contractPrefix, fromRevision, hooks);
 }
 
-void configuration_service::storeFailed(const std::string& why)
+void configuration_service::storeFailed(const std::string& reason)
 {
-    m_lastFailure = why;
-    auto doublings = std::min(m_failuresInRow, mostDoublings);
-    ++m_failuresInRow;
-    auto backoff = std::min<milliseconds>(firstBackoff * (1 << doublings), longestBackoff);
-    m_nextRead = std::chrono::steady_clock::now() + spread(backoff);
+    m_lastFailure = reason;
+    auto doublings = std::min(m_consecutiveFailures, maxDoublings);
+    ++m_consecutiveFailures;
+    auto backoff = std::min<milliseconds>(initialBackoff * (1 << doublings), maxBackoff);
+    m_nextRead = std::chrono::steady_clock::now() + withJitter(backoff);
 }
 
-bool configuration_service::take(const contract_news& news)
+bool configuration_service::take(const contract_news& update)
 {
-    if (!m_book.take(news)) {
+    if (!m_book.take(update)) {
         return false;
     }
     m_hooks.contractsChanged(m_book.contracts());
     return true;
 }
 
-void configuration_service::peerRevision(const member& peer, std::int64_t revision)
+void configuration_service::handlePeerRevision(const member& peer, std::int64_t revision)
 {
     if (revision > m_book.revision() && !m_fetching) {
         fetchFrom(peer.operatorAddress);
     }
 }
 
-// A node that knows nothing yet, and hears nothing, asks somebody.
+// Asks a random member for the contracts as long as this node has none.
 void configuration_service::catchUpFromPeer()
 {
     if (m_book.revision() != 0 || m_fetching || m_members->size() < 2) {
         return;
     }
-    const auto& peer = (*m_members)[m_hooks.chance(m_members->size())];
+    const auto& peer = (*m_members)[m_hooks.randomBelow(m_members->size())];
     if (peer.id != m_settings.selfId) {
         fetchFrom(peer.operatorAddress);
     }
@@ -231,14 +232,14 @@
     m_peers.call(operatorAddress, "contracts_since", parameters, peerTimeout, [this](const operator_result& result) {
         m_fetching = false;
         const auto* value = std::get_if<Json::Value>(&result);
-        auto news = value ? readNews(*value) : std::nullopt;
-        if (news) {
-            take(*news);
+        auto update = value ? parseUpdate(*value) : std::nullopt;
+        if (update) {
+            take(*update);
         }
     });
 }
 
-Json::Value configuration_service::newsSince(std::int64_t revision) const
+Json::Value configuration_service::updateSince(std::int64_t revision) const
 {
     return toJson(m_book.newsSince(revision));
 }
--- a/Source/node/configuration_service.h
+++ b/Source/node/configuration_service.h
@@ -18,13 +18,13 @@
 namespace vanillashunt {
 
 struct configuration_hooks {
-    // Called with each newer set of contracts; the revision only ever rises.
+    // Called with each newer set of contracts; the revision never decreases.
     std::function<void(contract_snapshot)> contractsChanged;
-    // Returns a random number below its argument.
-    std::function<std::uint64_t(std::uint64_t bound)> chance;
+    // Returns a random number below the bound.
+    std::function<std::uint64_t(std::uint64_t bound)> randomBelow;
 };
 
-// Where the store is, and how this node reaches it.
+// How to reach the store, and this node's identity.
 struct configuration_settings {
     std::vector<std::string> endpoints;
     std::string outgoingAddress;
@@ -32,7 +32,7 @@
     std::uint64_t selfId = 0;
 };
 
-// Store calls since the start, by kind.
+// Calls to the store and to peers since the start, by kind.
 struct configuration_counts {
     std::uint64_t ranges = 0;
     std::uint64_t watches = 0;
@@ -40,42 +40,43 @@
 };
 
 // Keeps the newest contracts that this node has seen. A few nodes of each
-// availability zone watch the store; the others learn a new revision from
-// gossip and fetch what they lack from whoever told them, so that the store's
-// calls do not grow with the fleet, and nobody needs the store while it is down.
+// availability zone watch the store. The others learn of a new revision by
+// gossip and fetch the missing contracts from the member that announced it. The
+// load on the store therefore does not grow with the number of nodes, and
+// contracts still spread while the store is down.
 class configuration_service {
 public:
-    // The store and the client outlive the service.
+    // The io_context, the store and the RPC client outlive the service.
     configuration_service(boost::asio::io_context&, store_client&, peer_rpc&, configuration_settings, configuration_hooks);
 
     void start();
 
-    // Whether this node is to watch the store follows from the members.
+    // The members determine whether this node watches the store.
     void setMembers(const member_list&);
 
-    // A member told its revision.
-    void peerRevision(const member&, std::int64_t revision);
+    // Handles the contract revision that a member has announced by gossip.
+    void handlePeerRevision(const member&, std::int64_t revision);
 
     contract_snapshot contracts() const { return m_book.contracts(); }
     std::int64_t revision() const { return m_book.revision(); }
 
-    // What the method contracts_since answers.
-    Json::Value newsSince(std::int64_t revision) const;
+    // Returns the answer of the RPC method contracts_since.
+    Json::Value updateSince(std::int64_t revision) const;
 
-    // Its part of the dump.
+    // Returns this service's part of the dump.
     Json::Value dump() const;
 
 private:
     bool take(const contract_news&);
-    void scheduleStep(std::chrono::milliseconds);
-    void step();
-    bool isDutyWatcher() const;
+    void schedulePoll(std::chrono::milliseconds);
+    void poll();
+    bool isStoreWatcher() const;
     void readStore();
     void startWatch(std::int64_t fromRevision);
-    void storeFailed(const std::string& why);
+    void storeFailed(const std::string& reason);
     void fetchFrom(const std::string& operatorAddress);
     void catchUpFromPeer();
-    std::chrono::milliseconds spread(std::chrono::milliseconds) const;
+    std::chrono::milliseconds withJitter(std::chrono::milliseconds) const;
 
     boost::asio::io_context& m_context;
     store_client& m_store;
@@ -86,13 +87,13 @@
     contract_book m_book;
     member_list m_members;
     std::unique_ptr<store_watch> m_watch;
-    // The watch ended; it is let go outside of its own call.
+    // Whether the watch has ended. poll() destroys it, since it must not be destroyed in its own callback.
     bool m_watchEnded = false;
     std::size_t m_nextEndpoint = 0;
-    std::uint32_t m_failuresInRow = 0;
+    std::uint32_t m_consecutiveFailures = 0;
     std::string m_lastFailure;
     bool m_fetching = false;
-    bool m_readOnce = false;
+    bool m_hasReadStore = false;
     std::chrono::steady_clock::time_point m_nextRead;
     configuration_counts m_counts;
 };
--- a/Source/node/inbound_calls.cpp
+++ b/Source/node/inbound_calls.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // Bytes of answers that are kept for repeats of non-idempotent calls.
-    constexpr std::size_t keptAnswerBytes = 8ULL * 1024 * 1024;
+    // Maximum size in bytes of the answers kept for repeated non-idempotent calls.
+    constexpr std::size_t maxKeptAnswerBytes = 8ULL * 1024 * 1024;
 
-    // The ledger is searched for expired tickets no more often than this.
-    constexpr std::chrono::milliseconds forgetInterval { 1000 };
+    // Minimum time between two searches of the ledger for expired tickets.
+    constexpr std::chrono::milliseconds ledgerCleanupInterval { 1000 };
 
     std::size_t sizeOf(const call_answer& answer)
     {
@@ -31,7 +31,7 @@
         case ledger_finding::Lost:
             return verdict::mayHaveRun(verdict_reason::AnswerLost);
         case ledger_finding::HandedOver:
-            // Another try may have used the successor by now.
+            // Another attempt may already have used the successor ticket.
             return verdict::mayHaveRun(verdict_reason::TicketNeeded);
         default:
             return verdict::mayHaveRun(verdict_reason::TicketUnknown);
@@ -51,7 +51,7 @@
 {
     bool replaced = m_backend && announcement && m_backend->address != announcement->address;
     if (replaced) {
-        // Another server: it is cold again.
+        // The new address is a different server, which starts cold.
         m_gate.setSlots(0, now);
     }
     m_backend = std::move(announcement);
@@ -60,7 +60,7 @@
     } else {
         m_gate.setSlots(0, now);
     }
-    startReleased(now);
+    startReleasedCalls(now);
 }
 
 void inbound_calls::setContracts(const contract_set& contracts)
@@ -86,47 +86,47 @@
     return std::nullopt;
 }
 
-std::uint64_t inbound_calls::arrive(call_request request, call_replier replier, std::chrono::steady_clock::time_point now)
+std::uint64_t inbound_calls::arrive(call_request request, answer_callback answerCallback, std::chrono::steady_clock::time_point now)
 {
     auto id = m_hooks.random();
     if (request.permit) {
         auto nonce = request.permit->nonce;
         auto finding = m_ledger.begin(*request.permit, now);
         if (finding == ledger_finding::Running) {
-            // The repeat waits for the answer of the attempt that runs.
-            auto running = m_arrivalOfNonce.at(nonce);
-            m_arrivals.at(running).waiters.push_back({ request.callId, request.attempt, std::move(replier) });
+            // The repeated call waits for the answer to the attempt that is already running.
+            auto running = m_arrivalByNonce.at(nonce);
+            m_arrivals.at(running).waiters.push_back({ request.callId, request.attempt, std::move(answerCallback) });
             return running;
         }
         if (finding != ledger_finding::Run) {
-            answerRepeat(request, finding, replier);
+            answerRepeat(request, finding, answerCallback);
             return id;
         }
-        m_arrivalOfNonce[nonce] = id;
+        m_arrivalByNonce[nonce] = id;
     }
     auto refusal = refusalBeforeGate(request);
-    admission_request asking { id, request.context.position, request.context.organisation, request.context.deadline, request.context.requestClass };
+    admission_request gateRequest { id, request.context.position, request.context.organisation, request.context.deadline, request.context.requestClass };
     arrival entry;
     entry.tokens = request.context.retryTokens;
-    entry.waiters.push_back({ request.callId, request.attempt, std::move(replier) });
+    entry.waiters.push_back({ request.callId, request.attempt, std::move(answerCallback) });
     entry.request = std::move(request);
     m_arrivals.emplace(id, std::move(entry));
     if (refusal) {
         refuse(id, *refusal, now);
         return id;
     }
-    auto decision = m_gate.arrive(asking, now);
+    auto decision = m_gate.arrive(gateRequest, now);
     if (decision.outcome == admission_outcome::Refuse) {
         refuse(id, decision.refusal, now);
     } else if (decision.outcome == admission_outcome::Run) {
         start(id, now);
     }
-    // It may have taken the place of a waiting call, which is to be told.
-    startReleased(now);
+    // The new call may have evicted a waiting call, which has to be answered.
+    startReleasedCalls(now);
     return id;
 }
 
-void inbound_calls::answerRepeat(const call_request& request, ledger_finding finding, const call_replier& replier)
+void inbound_calls::answerRepeat(const call_request& request, ledger_finding finding, const answer_callback& answerCallback)
 {
     auto answer = answerWithout(request.callId, request.attempt, repeatVerdict(finding));
     auto kept = m_keptAnswers.find(request.permit->nonce);
@@ -138,7 +138,7 @@
     answer.retryTokens = request.context.retryTokens;
     fillTicket(answer, request.permit->nonce);
     fillLoad(answer, request.context.organisation);
-    replier(answer);
+    answerCallback(answer);
 }
 
 void inbound_calls::start(std::uint64_t arrivalId, std::chrono::steady_clock::time_point now)
@@ -149,25 +149,26 @@
     m_hooks.run(arrivalId, m_backend->address, entry.request);
 }
 
-void inbound_calls::refuse(std::uint64_t arrivalId, const verdict& why, std::chrono::steady_clock::time_point now)
+void inbound_calls::refuse(std::uint64_t arrivalId, const verdict& cause, std::chrono::steady_clock::time_point now)
 {
     auto node = m_arrivals.extract(arrivalId);
     auto& entry = node.mapped();
-    auto answer = answerWithout(0, 0, why);
-    settleTicket(entry.request, answer);
-    handOver(entry.request, why, now);
+    auto answer = answerWithout(0, 0, cause);
+    recordTicketOutcome(entry.request, answer);
+    handOver(entry.request, cause, now);
     reply(entry, answer);
 }
 
-// A ticket can run at its home only. Where the home leaves, or has no backend server, its
-// request would be refused until the ticket ends, however often the caller repeats it.
-void inbound_calls::handOver(const call_request& request, const verdict& why, std::chrono::steady_clock::time_point now)
+// Replaces a ticket that cannot run here any more by a successor at another home. A ticket
+// can run at its home only. If the home is stopping or has no backend server, the request
+// would be refused until the ticket expires, however often the caller retries it.
+void inbound_calls::handOver(const call_request& request, const verdict& cause, std::chrono::steady_clock::time_point now)
 {
-    bool canRunNothing = why.reason == verdict_reason::Draining || why.reason == verdict_reason::NoBackendServer;
-    if (!request.permit || !canRunNothing || !m_hooks.otherHome) {
+    bool cannotRun = cause.reason == verdict_reason::Draining || cause.reason == verdict_reason::NoBackendServer;
+    if (!request.permit || !cannotRun || !m_hooks.findOtherHome) {
         return;
     }
-    auto home = m_hooks.otherHome(request.service, now);
+    auto home = m_hooks.findOtherHome(request.service, now);
     if (!home) {
         return;
     }
@@ -191,12 +192,12 @@
     }
     if (entry.running) {
         m_hooks.cancelRun(arrivalId);
-        m_hooks.abandoned(arrivalId);
+        m_hooks.runAbandoned(arrivalId);
     }
-    settleTicket(entry.request, answerWithout(0, 0, verdict::notRun(verdict_reason::CallerGone)));
+    recordTicketOutcome(entry.request, answerWithout(0, 0, verdict::notRun(verdict_reason::CallerGone)));
     m_arrivals.erase(found);
     m_gate.cancel(arrivalId, now);
-    startReleased(now);
+    startReleasedCalls(now);
 }
 
 void inbound_calls::backendAnswered(std::uint64_t runId, const call_answer& answer, std::chrono::steady_clock::time_point now)
@@ -210,22 +211,22 @@
     outcome.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - entry.startedRunning);
     outcome.refused = answer.outcome.reason == verdict_reason::BackendRefused;
     m_gate.finish(runId, outcome, now);
-    settleTicket(entry.request, answer);
+    recordTicketOutcome(entry.request, answer);
     if (answer.outcome.run == execution::MayHaveRun) {
-        m_hooks.abandoned(runId);
+        m_hooks.runAbandoned(runId);
     }
     reply(entry, answer);
-    startReleased(now);
+    startReleasedCalls(now);
 }
 
-// Records what became of a non-idempotent call, for its repeats.
-void inbound_calls::settleTicket(const call_request& request, const call_answer& answer)
+// Records the outcome of a non-idempotent call for later requests with the same ticket.
+void inbound_calls::recordTicketOutcome(const call_request& request, const call_answer& answer)
 {
     if (!request.permit) {
         return;
     }
     auto nonce = request.permit->nonce;
-    m_arrivalOfNonce.erase(nonce);
+    m_arrivalByNonce.erase(nonce);
     switch (answer.outcome.run) {
     case execution::NotRun:
         m_ledger.refused(nonce);
@@ -244,7 +245,7 @@
     m_keptAnswers[nonce] = std::make_shared<call_answer>(answer);
     m_keptOrder.push_back(nonce);
     m_keptBytes += sizeOf(answer);
-    while (m_keptBytes > keptAnswerBytes) {
+    while (m_keptBytes > maxKeptAnswerBytes) {
         auto oldest = m_keptAnswers.extract(m_keptOrder.front());
         m_keptOrder.pop_front();
         m_keptBytes -= sizeOf(*oldest.mapped());
@@ -263,8 +264,8 @@
     for (auto& waiter : entry.waiters) {
         complete.callId = waiter.callId;
         complete.attempt = waiter.attempt;
-        waiter.replier(complete);
-        // Only the first may have the tokens, or there would be more than before.
+        waiter.answerCallback(complete);
+        // Only the first waiter gets the retry tokens; giving them to several would multiply them.
         complete.retryTokens = 0;
     }
 }
@@ -284,7 +285,7 @@
     answer.limit = m_gate.limit();
 }
 
-void inbound_calls::startReleased(std::chrono::steady_clock::time_point now)
+void inbound_calls::startReleasedCalls(std::chrono::steady_clock::time_point now)
 {
     for (const auto& released : m_gate.release(now)) {
         if (m_arrivals.count(released.callId) == 0) {
@@ -306,11 +307,11 @@
 
 void inbound_calls::tick(std::chrono::steady_clock::time_point now)
 {
-    startReleased(now);
-    if (now < m_nextForget) {
+    startReleasedCalls(now);
+    if (now < m_nextLedgerCleanup) {
         return;
     }
-    m_nextForget = now + forgetInterval;
+    m_nextLedgerCleanup = now + ledgerCleanupInterval;
     for (auto nonce : m_ledger.forgetExpired(now)) {
         auto kept = m_keptAnswers.extract(nonce);
         if (!kept) {
@@ -330,7 +331,7 @@
     return found->second.request.context;
 }
 
-std::uint32_t inbound_calls::takeTokens(std::uint64_t runId)
+std::uint32_t inbound_calls::takeRetryTokens(std::uint64_t runId)
 {
     auto found = m_arrivals.find(runId);
     if (found == m_arrivals.end()) {
--- a/Source/node/membership_actor.cpp
+++ b/Source/node/membership_actor.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-    // A snapshot of many members takes longer, and is made less often.
+    // Minimum time between two snapshots. Each membersPerMillisecond members add one
+    // millisecond, since a snapshot of more members takes longer to make.
     constexpr std::chrono::milliseconds publishPeriod { 20 };
     constexpr std::size_t membersPerMillisecond = 15;
 
@@ -21,17 +22,17 @@
 
 }
 
-membership_actor::membership_actor(caf::actor_config& config, membership_actor_parts parts)
+membership_actor::membership_actor(caf::actor_config& config, membership_actor_parameters parameters)
     : caf::event_based_actor(config)
-    , m_parts(std::move(parts))
+    , m_parameters(std::move(parameters))
     , m_random(std::random_device {}())
-    , m_socket(*m_parts.context, m_parts.listenAddress, m_parts.meshName, [this](gossip_message message) {
-        m_parts.host->send(caf::actor_cast<caf::actor>(this), gossip_arrived { std::move(message) });
+    , m_socket(*m_parameters.context, m_parameters.listenAddress, m_parameters.meshName, [this](gossip_message message) {
+        m_parameters.host->send(caf::actor_cast<caf::actor>(this), gossip_arrived { std::move(message) });
     })
-    , m_protocol(m_parts.self, membership_options {}, gossipHooks(), currentTime())
-    , m_seeds(*m_parts.store, m_parts.self.availabilityZone, m_parts.self.address, seedHooks())
+    , m_protocol(m_parameters.self, membership_options {}, gossipHooks(), currentTime())
+    , m_seedKeeper(*m_parameters.store, m_parameters.self.availabilityZone, m_parameters.self.address, seedHooks())
 {
-    m_protocol.setContacts(m_parts.joinAddresses, currentTime());
+    m_protocol.setContacts(m_parameters.joinAddresses, currentTime());
 }
 
 gossip_hooks membership_actor::gossipHooks()
@@ -39,8 +40,8 @@
     gossip_hooks hooks;
     hooks.send = [this](const std::string& address, const gossip_message& message) { m_socket.send(address, message); };
     hooks.random = [this](std::uint64_t bound) { return m_random() % bound; };
-    hooks.ownVersions = m_parts.hooks.ownVersions;
-    hooks.peerVersions = m_parts.hooks.peerVersions;
+    hooks.ownVersions = m_parameters.hooks.ownVersions;
+    hooks.peerVersions = m_parameters.hooks.peerVersions;
     hooks.superseded = [this] { superseded(); };
     return hooks;
 }
@@ -49,7 +50,7 @@
 {
     seed_keeper_hooks hooks;
     hooks.seedsRead = [this](std::vector<std::string> addresses) {
-        m_parts.host->send(caf::actor_cast<caf::actor>(this), seeds_read { std::move(addresses) });
+        m_parameters.host->send(caf::actor_cast<caf::actor>(this), seeds_read { std::move(addresses) });
     };
     hooks.random = [this](std::uint64_t bound) { return m_random() % bound; };
     hooks.now = currentTime;
@@ -70,7 +71,7 @@
             m_protocol.setSelf(message.self, currentTime());
             publish(currentTime());
         },
-        [this](const store_returned&) { m_seeds.storeReturned(currentTime()); },
+        [this](const store_returned&) { m_seedKeeper.storeReturned(currentTime()); },
         [this](const spread_requested&) { m_protocol.spreadSoon(currentTime()); },
         [this](const member_call_ended& message) {
             m_protocol.callEnded(message.memberId, message.answered, currentTime());
@@ -82,7 +83,7 @@
 
 void membership_actor::seedsRead(const std::vector<std::string>& addresses)
 {
-    auto contacts = m_parts.joinAddresses;
+    auto contacts = m_parameters.joinAddresses;
     contacts.insert(contacts.end(), addresses.begin(), addresses.end());
     m_protocol.setContacts(contacts, currentTime());
 }
@@ -102,31 +103,31 @@
 {
     auto now = currentTime();
     m_protocol.tick(now);
-    m_seeds.tick(seedDuty(now), now);
+    m_seedKeeper.tick(seedDuty(now), now);
     publish(now);
 }
 
 void membership_actor::publish(std::chrono::steady_clock::time_point now)
 {
     auto period = publishPeriod + std::chrono::milliseconds(m_protocol.table().liveCount() / membersPerMillisecond);
-    if (m_protocol.changes() == m_published || now - m_lastPublished < period) {
+    if (m_protocol.changes() == m_publishedChanges || now - m_lastPublished < period) {
         return;
     }
-    m_published = m_protocol.changes();
+    m_publishedChanges = m_protocol.changes();
     m_lastPublished = now;
-    m_parts.hooks.membersChanged(m_protocol.snapshot());
+    m_parameters.hooks.membersChanged(m_protocol.snapshot());
 }
 
 void membership_actor::superseded()
 {
     if (!std::exchange(m_superseded, true)) {
-        logEvent(events::nameTakenOver, { { "name", m_parts.self.name }, { "address", m_parts.self.address } });
+        logEvent(events::nameTakenOver, { { "name", m_parameters.self.name }, { "address", m_parameters.self.address } });
     }
 }
 
 Json::Value membership_actor::dump() const
 {
-    return dumpMembership(m_protocol, m_socket.counts(), m_seeds.counts(), currentTime());
+    return dumpMembership(m_protocol, m_socket.counts(), m_seedKeeper.counts(), currentTime());
 }
 
 }
--- a/Source/node/membership_actor.h
+++ b/Source/node/membership_actor.h
@@ -13,8 +13,8 @@
 
 namespace vanillashunt {
 
-// What the membership actor is made of; all of it outlives the actor.
-struct membership_actor_parts {
+// Constructor parameters of membership_actor. The objects pointed to outlive the actor.
+struct membership_actor_parameters {
     actor_host* host = nullptr;
     boost::asio::io_context* context = nullptr;
     metadata_store* store = nullptr;
@@ -25,12 +25,12 @@
     member self;
 };
 
-// Owns the members that this node knows, its gossip socket and its part in
-// keeping the seeds; publishes a snapshot of the members when they change.
+// Owns the table of members that this node knows, its gossip socket and its seed
+// keeper. Publishes a snapshot of the members when they change.
 class membership_actor : public caf::event_based_actor {
 public:
     // Throws boost::system::system_error if the gossip address cannot be bound.
-    membership_actor(caf::actor_config&, membership_actor_parts);
+    membership_actor(caf::actor_config&, membership_actor_parameters);
 
     caf::behavior make_behavior() override;
 
@@ -44,12 +44,12 @@
     void superseded();
     Json::Value dump() const;
 
-    membership_actor_parts m_parts;
+    membership_actor_parameters m_parameters;
     std::mt19937_64 m_random;
     gossip_socket m_socket;
     gossip_protocol m_protocol;
-    seed_keeper m_seeds;
-    std::uint64_t m_published = 0;
+    seed_keeper m_seedKeeper;
+    std::uint64_t m_publishedChanges = 0;
     std::chrono::steady_clock::time_point m_lastPublished;
     bool m_superseded = false;
 };
--- a/Source/node/membership_dump.h
+++ b/Source/node/membership_dump.h
@@ -8,8 +8,9 @@
 
 namespace vanillashunt {
 
-// What operators see of membership: the members with their states and the
-// reasons, the zones that are reached, the own health, and counts.
+// Dumps the membership for operators: the members with their states and the
+// reasons for them, the reachability of the availability zones, the health of this
+// node, and counters.
 Json::Value dumpMembership(const gossip_protocol&, const gossip_counts&, const seed_keeper_counts&, std::chrono::steady_clock::time_point now);
 
 }
--- a/Source/node/membership_messages.h
+++ b/Source/node/membership_messages.h
@@ -11,8 +11,8 @@
 
 namespace vanillashunt {
 
-// The messages of the membership actor besides clock_tick and state_requested.
-// None of them leaves the process.
+// The messages that membership_actor handles besides clock_tick and
+// state_requested. They never leave the process.
 
 struct gossip_arrived {
     gossip_message message;
--- a/Source/node/membership_service.cpp
+++ b/Source/node/membership_service.cpp
@@ -20,16 +20,16 @@
 
 void membership_service::start(const member& self, const std::string& listenAddress)
 {
-    membership_actor_parts parts;
-    parts.host = &m_host;
-    parts.context = &m_context;
-    parts.store = &m_store;
-    parts.listenAddress = listenAddress;
-    parts.meshName = m_meshName;
-    parts.joinAddresses = m_joinAddresses;
-    parts.hooks = m_hooks;
-    parts.self = self;
-    m_actor = m_host.system().spawn<membership_actor, caf::lazy_init>(std::move(parts));
+    membership_actor_parameters parameters;
+    parameters.host = &m_host;
+    parameters.context = &m_context;
+    parameters.store = &m_store;
+    parameters.listenAddress = listenAddress;
+    parameters.meshName = m_meshName;
+    parameters.joinAddresses = m_joinAddresses;
+    parameters.hooks = m_hooks;
+    parameters.self = self;
+    m_actor = m_host.system().spawn<membership_actor, caf::lazy_init>(std::move(parameters));
     tick();
 }
 
--- a/Source/node/membership_service.h
+++ b/Source/node/membership_service.h
@@ -16,51 +16,51 @@
 
 namespace vanillashunt {
 
-// All of them are called on the thread of the sockets.
+// The hooks are called on the thread of the io_context.
 struct membership_hooks {
-    // Called with each change of what this node knows of the members.
+    // Called with a new snapshot after the members or their states have changed.
     std::function<void(member_list)> membersChanged {};
-    // What this node has of that which all are to know; goes with each datagram.
+    // Returns the versions of the shared documents that this node has; sent with each datagram.
     std::function<document_versions()> ownVersions {};
     // Called with the versions in each datagram from a known member.
     std::function<void(const member&, const document_versions&)> peerVersions {};
 };
 
-// Keeps what this node knows of the other nodes, and lets them know of this one:
-// the narrow face of the actor that owns it.
+// Keeps the list of members, and announces this node to them. A thin interface to
+// membership_actor, which owns the state.
 class membership_service {
 public:
-    // The host, the context and the store outlive the service. The addresses are
-    // of peers to join besides the seeds in the store.
+    // The host, the io_context and the store outlive the service. joinAddresses are
+    // peers to contact in addition to the seeds in the store.
     membership_service(actor_host&, boost::asio::io_context&, metadata_store&, std::string meshName, std::vector<std::string> joinAddresses, membership_hooks);
     ~membership_service();
 
     membership_service(const membership_service&) = delete;
     membership_service& operator=(const membership_service&) = delete;
 
-    // Starts with the own entry; its addresses are as advertised. Gossip is bound
-    // to the listen address, which is the peer port's. Throws
-    // boost::system::system_error if it cannot be bound.
+    // Starts gossip with the entry of this node, which holds its advertised addresses.
+    // The gossip socket is bound to listenAddress, the address of the peer port. Throws
+    // boost::system::system_error if the address cannot be bound.
     void start(const member& self, const std::string& listenAddress);
 
-    // Lets the others know of a change of the own entry at once: service, slots,
-    // operator address or state. After the state Left the node falls silent.
+    // Announces a change of this node's entry at once: service, slots, operator
+    // address or state. The node sends nothing more after the state Left.
     void setSelf(const member& self);
 
-    // Pushes at once, since one of the own versions has risen.
+    // Gossips without waiting for the next round, since one of the own versions has increased.
     void spreadSoon();
 
-    // The store has come back from an earlier copy.
+    // Tells that the store was restored from an earlier copy of its data.
     void storeReturned();
 
-    // What came of a call to a member: whether anything came back. Counts towards
-    // whether its availability zone can be reached.
+    // Reports whether a member responded to a call. Used to determine whether its
+    // availability zone is reachable.
     void callEnded(std::uint64_t memberId, bool answered);
 
-    // Ends the actor; nothing comes from it any more.
+    // Terminates the actor. No hook is called once it has ended.
     void stop();
 
-    // Calls the receiver with the members, their states and the counts.
+    // Calls the receiver with the members, their states and the counters.
     void dump(std::function<void(const Json::Value&)> receiver) const;
 
 private:
--- a/Source/node/node_process.cpp
+++ b/Source/node/node_process.cpp
@@ -31,18 +31,18 @@
 
 namespace {
 
-    // As documented with the command's exit codes: usage.
+    // The documented exit code of the command for usage errors.
     constexpr int exitCannotListen = 2;
 
-    // How often deadlines and queues are looked at, with and without calls in progress.
+    // How often deadlines and queues are checked, with and without calls in progress.
     constexpr std::chrono::milliseconds busyTickPeriod { 5 };
     constexpr std::chrono::milliseconds idleTickPeriod { 100 };
 
-    // Decisions that are remembered for the command explain: some megabytes.
+    // Number of decisions kept for the explain command; takes a few megabytes.
     constexpr std::size_t journalCapacity = 16384;
 
-    // Time for the last news of this node to leave it.
-    constexpr std::chrono::milliseconds farewellTime { 100 };
+    // Time to send the last gossip messages before the process exits.
+    constexpr std::chrono::milliseconds finalGossipTime { 100 };
 
     class node_process {
     public:
@@ -51,17 +51,17 @@
         int run();
 
     private:
-        void callerRequest(http_request, const std::shared_ptr<http_exchange>&);
-        void announced(const backend_announcement&);
+        void handleCallerRequest(http_request, const std::shared_ptr<http_exchange>&);
+        void backendAnnounced(const backend_announcement&);
         void tick();
         void scheduleTick();
-        void callBegins();
-        void offerBackend(bool offered);
-        void withdrawn();
+        void callStarted();
+        void advertiseBackend(bool offered);
+        void backendWithdrawn();
         void requestStop(stop_reason);
-        void applyStop();
-        void stepStop();
-        void leave(bool idle);
+        void applyStopState();
+        void advanceStop();
+        void leaveAndExit(bool idle);
         void endActors();
         void printReady() const;
         operator_hooks operatorHooks();
@@ -77,7 +77,7 @@
         Json::Value stopState() const;
         void observe(const call_observation&);
         void bindPeerPort();
-        std::string advertised(const port_settings&, const std::string& bound) const;
+        std::string advertisedAddress(const port_settings&, const std::string& boundAddress) const;
 
         node_settings m_settings;
         std::chrono::steady_clock::time_point m_started = std::chrono::steady_clock::now();
@@ -101,7 +101,7 @@
         std::unique_ptr<peer_server> m_peerServer;
         std::unique_ptr<operator_port> m_operatorPort;
         asio::steady_timer m_tickTimer { m_context };
-        bool m_busyTicks = false;
+        bool m_callsInProgress = false;
         asio::steady_timer m_exitTimer { m_context };
         asio::signal_set m_signals { m_context, SIGTERM, SIGINT };
         member m_self;
@@ -119,7 +119,7 @@
         : m_settings(settings)
     {
         setLogLevel(settings.logLevel);
-        // Every actor runs on the thread of the sockets; the library's own scheduler stays idle.
+        // Every actor runs on the thread of the io_context; CAF's own scheduler stays idle.
         m_config.set("scheduler.policy", caf::atom("sharing"));
         m_config.set("scheduler.max-threads", 1);
         m_system = std::make_unique<caf::actor_system>(m_config);
@@ -137,20 +137,20 @@
 
         m_claims = std::make_unique<claim_store>(*m_store);
 
-        call_actor_parts parts;
-        parts.host = m_host.get();
-        parts.peers = m_peers.get();
-        parts.backend = m_backend.get();
-        parts.claims = m_claims.get();
-        parts.random = [this] { return m_random(); };
-        parts.callEnded = [this](std::uint64_t memberId, bool answered) { m_membership->callEnded(memberId, answered); };
-        parts.backendAnswered = [this] { m_backendWatch->callAnswered(); };
-        parts.observed = [this](const call_observation& seen) { observe(seen); };
-        parts.policy = parseAdmissionPolicy(settings.policy).value_or(admission_policy::Full);
-        parts.incarnation = m_incarnation;
-        parts.started = m_started;
-        parts.place = { settings.availabilityZone, settings.region };
-        m_calls = m_system->spawn<call_actor, caf::lazy_init>(parts);
+        call_actor_parameters parameters;
+        parameters.host = m_host.get();
+        parameters.peers = m_peers.get();
+        parameters.backend = m_backend.get();
+        parameters.claims = m_claims.get();
+        parameters.random = [this] { return m_random(); };
+        parameters.attemptEnded = [this](std::uint64_t memberId, bool answered) { m_membership->callEnded(memberId, answered); };
+        parameters.backendAnswered = [this] { m_backendWatch->callAnswered(); };
+        parameters.observed = [this](const call_observation& observation) { observe(observation); };
+        parameters.policy = parseAdmissionPolicy(settings.policy).value_or(admission_policy::Full);
+        parameters.incarnation = m_incarnation;
+        parameters.started = m_started;
+        parameters.location = { settings.availabilityZone, settings.region };
+        m_calls = m_system->spawn<call_actor, caf::lazy_init>(parameters);
 
         m_membership = std::make_unique<membership_service>(*m_host, m_context, *m_store, settings.mesh, settings.joinAddresses,
             membershipHooks());
@@ -163,12 +163,12 @@
         http_server_limits callerLimits;
         callerLimits.maxBodyBytes = settings.maxBodyBytes;
         m_callerServer = std::make_unique<http_server>(m_context, settings.caller.listen, callerLimits,
-            [this](http_request request, const std::shared_ptr<http_exchange>& exchange) { callerRequest(std::move(request), exchange); });
+            [this](http_request request, const std::shared_ptr<http_exchange>& exchange) { handleCallerRequest(std::move(request), exchange); });
         bindPeerPort();
-        m_backendWatch = std::make_unique<backend_watch>(m_context, *m_backend, [this](bool offered) { offerBackend(offered); });
+        m_backendWatch = std::make_unique<backend_watch>(m_context, *m_backend, [this](bool offered) { advertiseBackend(offered); });
         backend_port_hooks hooks;
-        hooks.announced = [this](const backend_announcement& announcement) { announced(announcement); };
-        hooks.withdrawn = [this] { withdrawn(); };
+        hooks.announced = [this](const backend_announcement& announcement) { backendAnnounced(announcement); };
+        hooks.withdrawn = [this] { backendWithdrawn(); };
         hooks.draining = [this] { requestStop(stop_reason::BackendServer); };
         m_backendPort = std::make_unique<backend_port>(m_context, settings.backend.listen, hooks);
 
@@ -178,8 +178,8 @@
         m_self.name = settings.name;
         m_self.availabilityZone = settings.availabilityZone;
         m_self.region = settings.region;
-        m_self.address = advertised(settings.peer, m_peerServer->address());
-        m_self.operatorAddress = advertised(settings.operators, m_operatorPort->address());
+        m_self.address = advertisedAddress(settings.peer, m_peerServer->address());
+        m_self.operatorAddress = advertisedAddress(settings.operators, m_operatorPort->address());
     }
 
     membership_hooks node_process::membershipHooks()
@@ -191,7 +191,7 @@
             m_host->send(m_calls, members_changed { members });
         };
         hooks.ownVersions = [this] { return document_versions { m_configuration->revision() }; };
-        hooks.peerVersions = [this](const member& peer, const document_versions& versions) { m_configuration->peerRevision(peer, versions.contracts); };
+        hooks.peerVersions = [this](const member& peer, const document_versions& versions) { m_configuration->handlePeerRevision(peer, versions.contracts); };
         return hooks;
     }
 
@@ -203,18 +203,19 @@
             m_host->send(m_calls, contracts_changed { contracts });
             m_membership->spreadSoon();
         };
-        hooks.chance = [this](std::uint64_t bound) { return m_random() % bound; };
+        hooks.randomBelow = [this](std::uint64_t bound) { return m_random() % bound; };
         return hooks;
     }
 
-    // Where any free port will do, it has to be free for gossip over UDP too.
+    // Gossip uses the UDP port with the number of the peer port. If the operating system
+    // chooses the port, it is tried again until that UDP port is free as well.
     void node_process::bindPeerPort()
     {
-        constexpr int mostTries = 20;
-        for (int i = 0; i < mostTries; ++i) {
+        constexpr int maxAttempts = 20;
+        for (int i = 0; i < maxAttempts; ++i) {
             m_peerServer = std::make_unique<peer_server>(m_context, m_settings.peer.listen, m_settings.maxBodyBytes,
                 [this](call_request request, const std::shared_ptr<peer_exchange>& exchange) {
-                    callBegins();
+                    callStarted();
                     m_host->send(m_calls, peer_call_arrived { std::move(request), exchange });
                 });
             if (isUdpPortFree(m_context, m_peerServer->address())) {
@@ -223,12 +224,12 @@
         }
     }
 
-    std::string node_process::advertised(const port_settings& port, const std::string& bound) const
+    std::string node_process::advertisedAddress(const port_settings& port, const std::string& boundAddress) const
     {
-        return port.advertise.empty() ? bound : port.advertise;
+        return port.advertise.empty() ? boundAddress : port.advertise;
     }
 
-    void node_process::callerRequest(http_request request, const std::shared_ptr<http_exchange>& exchange)
+    void node_process::handleCallerRequest(http_request request, const std::shared_ptr<http_exchange>& exchange)
     {
         auto read = readCallerRequest(std::move(request));
         if (auto* problem = std::get_if<caller_problem>(&read)) {
@@ -239,11 +240,11 @@
             exchange->respond(toResponse(std::move(final)));
             return;
         }
-        callBegins();
+        callStarted();
         m_host->send(m_calls, caller_arrived { std::move(std::get<caller_request>(read)), exchange });
     }
 
-    void node_process::announced(const backend_announcement& announcement)
+    void node_process::backendAnnounced(const backend_announcement& announcement)
     {
         m_backendWatch->setBackend(announcement);
         if (m_self.service != announcement.service) {
@@ -251,37 +252,37 @@
         }
         m_announcement = announcement;
         m_host->send(m_calls, backend_announced { announcement });
-        offerBackend(m_backendWatch->offered());
+        advertiseBackend(m_backendWatch->offered());
     }
 
-    // Tells the other nodes which service they may call here; none where the
-    // backend server cannot be reached.
-    void node_process::offerBackend(bool offered)
+    // Tells the other nodes which service they may call at this node: none while the
+    // backend server is unreachable.
+    void node_process::advertiseBackend(bool offered)
     {
-        bool offer = offered && m_announcement;
-        m_self.service = offer ? m_announcement->service : "";
-        m_self.slots = offer ? m_announcement->slots : 0;
+        bool isOffered = offered && m_announcement;
+        m_self.service = isOffered ? m_announcement->service : "";
+        m_self.slots = isOffered ? m_announcement->slots : 0;
         m_membership->setSelf(m_self);
     }
 
-    void node_process::withdrawn()
+    void node_process::backendWithdrawn()
     {
         m_announcement.reset();
         m_backendWatch->setBackend(std::nullopt);
         m_host->send(m_calls, backend_withdrawn {});
-        offerBackend(false);
-        // Whatever announces itself next is not the backend server that drained.
+        advertiseBackend(false);
+        // The next backend server to announce itself is not the one that drained.
         m_stop.withdraw(stop_reason::BackendServer);
-        applyStop();
+        applyStopState();
     }
 
-    // An idle node looks at its clock rarely; the first call makes it look often again.
-    void node_process::callBegins()
+    // Switches from the idle to the busy tick period when the first call starts.
+    void node_process::callStarted()
     {
-        if (m_busyTicks) {
+        if (m_callsInProgress) {
             return;
         }
-        m_busyTicks = true;
+        m_callsInProgress = true;
         scheduleTick();
     }
 
@@ -289,15 +290,15 @@
     {
         m_host->send(m_calls, clock_tick {});
         if (m_stop.exiting()) {
-            stepStop();
+            advanceStop();
         }
-        m_busyTicks = m_callerServer->inProgress() != 0 || m_peerServer->inProgress() != 0;
+        m_callsInProgress = m_callerServer->inProgress() != 0 || m_peerServer->inProgress() != 0;
         scheduleTick();
     }
 
     void node_process::scheduleTick()
     {
-        m_tickTimer.expires_after(m_busyTicks ? busyTickPeriod : idleTickPeriod);
+        m_tickTimer.expires_after(m_callsInProgress ? busyTickPeriod : idleTickPeriod);
         m_tickTimer.async_wait([this](error_code error) {
             if (!error) {
                 tick();
@@ -311,10 +312,10 @@
             logEvent(events::drainStarted);
         }
         m_stop.request(reason, std::chrono::steady_clock::now());
-        applyStop();
+        applyStopState();
     }
 
-    void node_process::applyStop()
+    void node_process::applyStopState()
     {
         m_host->send(m_calls, drain_changed { m_stop.draining() });
         if (m_stop.exiting()) {
@@ -328,32 +329,33 @@
         m_membership->setSelf(m_self);
     }
 
-    // One step towards the exit; called with each tick.
-    void node_process::stepStop()
+    // Performs the next step of the stop if it is due; called with each tick.
+    void node_process::advanceStop()
     {
         m_host->send(m_calls, progress_requested { [this](std::size_t inbound, std::size_t outbound) {
             auto now = std::chrono::steady_clock::now();
-            // What runs at the own backend server may still call onward.
+            // Calls that run at the local backend server may still make onward calls through this node.
             if (inbound == 0 && m_stop.mayClosePorts(now)) {
                 m_callerServer->stopAccepting();
             }
             bool idle = inbound == 0 && outbound == 0 && m_callerServer->inProgress() == 0 && m_peerServer->inProgress() == 0;
             bool hasLeft = m_self.state == member_state::Left;
             if (m_stop.mayExit(idle, now) && !hasLeft) {
-                leave(idle);
+                leaveAndExit(idle);
             } else if (!hasLeft && m_stop.mayClosePorts(now) && !std::exchange(m_refusesCallers, true)) {
                 m_host->send(m_calls, intake_changed { call_intake::OnwardCalls });
             }
         } });
     }
 
-    // Answers every caller whose call is still in progress, then exits.
-    void node_process::leave(bool idle)
+    // Announces that this node has left, answers every caller whose call is still in progress,
+    // then exits.
+    void node_process::leaveAndExit(bool idle)
     {
         m_self.state = member_state::Left;
         m_membership->setSelf(m_self);
         auto scheduleExit = [this] {
-            m_exitTimer.expires_after(farewellTime);
+            m_exitTimer.expires_after(finalGossipTime);
             m_exitTimer.async_wait([this](error_code) { m_context.stop(); });
         };
         if (!idle) {
@@ -367,7 +369,7 @@
         operator_hooks hooks;
         hooks.collectState = [this](state_receiver receiver) { collectState(std::move(receiver)); };
         hooks.collectMetrics = [this](const std::function<void(std::string)>& receiver) { collectMetrics(receiver); };
-        hooks.contractsSince = [this](std::int64_t revision) { return m_configuration->newsSince(revision); };
+        hooks.contractsSince = [this](std::int64_t revision) { return m_configuration->updateSince(revision); };
         hooks.announceStop = [this](const Json::Value&) { return announceStop(); };
         hooks.withdrawStop = [this](const Json::Value&) { return withdrawStop(); };
         hooks.explain = [this](const std::string& requestId) { return explain(requestId); };
@@ -382,9 +384,9 @@
             state["peers"] = dumpPeers();
             state["configuration"] = m_configuration->dump();
             m_membership->dump([state, receiver](const Json::Value& membership) {
-                auto whole = state;
-                whole["membership"] = membership;
-                receiver(whole);
+                auto complete = state;
+                complete["membership"] = membership;
+                receiver(complete);
             });
         } });
     }
@@ -439,12 +441,12 @@
     {
         m_stop.withdraw(stop_reason::Operator);
         if (m_stop.exiting()) {
-            return operator_refusal { "the node got SIGTERM and exits when its work is done; start it again" };
+            return operator_refusal { "the node received SIGTERM and exits when its work is done; start it again" };
         }
         if (m_stop.draining()) {
-            return operator_refusal { "its backend server drains, so that it goes on taking no new work until the backend server announces itself anew" };
+            return operator_refusal { "the backend server of this node is draining; the node takes on no new work until the backend server announces itself again" };
         }
-        applyStop();
+        applyStopState();
         logEvent(events::stopWithdrawn);
         return stopState();
     }
@@ -457,11 +459,11 @@
         return json;
     }
 
-    void node_process::observe(const call_observation& seen)
+    void node_process::observe(const call_observation& observation)
     {
-        m_metrics.observe(seen);
-        m_journal.record(seen);
-        m_callLog.observe(seen);
+        m_metrics.observe(observation);
+        m_journal.record(observation);
+        m_callLog.observe(observation);
     }
 
     void node_process::printReady() const
@@ -477,7 +479,8 @@
         std::cout << writeJson(ready) << std::endl;
     }
 
-    // What the loop left undone may be mail that keeps an actor, and so the process, for ever.
+    // Messages that the event loop has not delivered may keep an actor alive, and the actor
+    // system waits for all actors, so that the process would never exit.
     void node_process::endActors()
     {
         m_host->end(m_calls);
--- a/Source/node/node_process.h
+++ b/Source/node/node_process.h
@@ -4,7 +4,7 @@
 
 namespace vanillashunt {
 
-// Runs one node until a planned stop has ended; returns the exit code of the process.
+// Runs a node until a planned stop has completed. Returns the exit code of the process.
 int runNode(const node_settings&);
 
 }
--- a/Source/node/outbound_calls.cpp
+++ b/Source/node/outbound_calls.cpp
@@ -25,22 +25,22 @@
         return std::any_of(methods.begin(), methods.end(), [&](const char* candidate) { return method == candidate; });
     }
 
-    constexpr std::uint32_t leastErrorStatus = 400;
+    constexpr std::uint32_t minErrorStatus = 400;
 
-    // Whether a refusal comes from servers that cannot be reached now.
+    // Whether a call was refused because no server can be reached at present.
     bool isUnavailable(verdict_reason reason)
     {
         return reason == verdict_reason::NoBackendServer || reason == verdict_reason::PeerUnreachable
             || reason == verdict_reason::BackendUnreachable || reason == verdict_reason::Draining;
     }
 
-    // About the time in which the members' news and avoidances pass, spread out
-    // so that refused callers do not return together.
+    // About the time in which membership changes spread and the router's avoidance of a failed
+    // member ends; jitter keeps refused callers from retrying at the same time.
     std::chrono::milliseconds unavailableRetryAfter(std::uint64_t random)
     {
-        constexpr std::uint64_t least = 200;
-        constexpr std::uint64_t spread = 300;
-        return std::chrono::milliseconds(least + random % spread);
+        constexpr std::uint64_t minDelay = 200;
+        constexpr std::uint64_t jitter = 300;
+        return std::chrono::milliseconds(minDelay + random % jitter);
     }
 
     std::string pathWithoutQuery(const std::string& path)
@@ -75,65 +75,65 @@
     m_router.setMembers(std::move(members), now);
 }
 
-std::optional<outbound_calls::early_refusal> outbound_calls::classify(const caller_request& asked,
-    const std::optional<context_text>& brought, outbound_call& call, std::chrono::steady_clock::time_point now) const
+std::optional<outbound_calls::early_refusal> outbound_calls::classify(const caller_request& callerRequest,
+    const std::optional<context_text>& receivedContext, outbound_call& call, std::chrono::steady_clock::time_point now) const
 {
     std::optional<request_context> parent;
-    if (brought && brought->runId != 0) {
-        parent = m_inbound.contextOfRun(brought->runId);
+    if (receivedContext && receivedContext->runId != 0) {
+        parent = m_inbound.contextOfRun(receivedContext->runId);
     }
     if (!parent) {
-        return classifyEntry(asked, brought, call, now);
+        return classifyEntry(callerRequest, receivedContext, call, now);
     }
     auto& context = call.request.context;
     context = *parent;
     context.depth = parent->depth + 1;
-    context.idempotent = isIdempotentMethod(asked.method);
-    if (asked.timeout) {
-        context.deadline = std::min(context.deadline, now + *asked.timeout);
+    context.idempotent = isIdempotentMethod(callerRequest.method);
+    if (callerRequest.timeout) {
+        context.deadline = std::min(context.deadline, now + *callerRequest.timeout);
     }
-    call.parentRun = brought->runId;
-    call.progress = call_progress(context.idempotent, m_inbound.takeTokens(call.parentRun), false);
+    call.parentRun = receivedContext->runId;
+    call.progress = call_progress(context.idempotent, m_inbound.takeRetryTokens(call.parentRun), false);
     return std::nullopt;
 }
 
-std::optional<outbound_calls::early_refusal> outbound_calls::classifyEntry(const caller_request& asked,
-    const std::optional<context_text>& brought, outbound_call& call, std::chrono::steady_clock::time_point now) const
+std::optional<outbound_calls::early_refusal> outbound_calls::classifyEntry(const caller_request& callerRequest,
+    const std::optional<context_text>& receivedContext, outbound_call& call, std::chrono::steady_clock::time_point now) const
 {
     auto& context = call.request.context;
-    context.requestId = brought ? brought->requestId : hexText(m_hooks.random());
-    auto found = m_contracts->byOrganisation.find(asked.organisation);
+    context.requestId = receivedContext ? receivedContext->requestId : hexText(m_hooks.random());
+    auto found = m_contracts->byOrganisation.find(callerRequest.organisation);
     if (found == m_contracts->byOrganisation.end()) {
-        return early_refusal { verdict::notRun(verdict_reason::UnknownOrganisation), "no contract in force is for customer '" + asked.organisation + "'; apply one or mend the field Vanillashunt-Customer" };
-    }
-    const auto* kind = findClass(found->second.terms, asked.service, asked.method, pathWithoutQuery(asked.path));
-    if (!kind) {
-        return early_refusal { verdict::notRun(verdict_reason::UnknownClass), "the contract of customer '" + asked.organisation + "' has no class for " + asked.method + " of service '" + asked.service + "' at " + pathWithoutQuery(asked.path) };
-    }
-    context.organisation = asked.organisation;
-    context.requestClass = kind->name;
-    context.level = kind->level;
-    context.position = sheddingPosition(kind->level, context.requestId);
-    context.idempotent = kind->idempotent;
-    auto time = asked.timeout ? std::min(*asked.timeout, kind->deadline) : kind->deadline;
+        return early_refusal { verdict::notRun(verdict_reason::UnknownOrganisation), "no contract is in force for customer '" + callerRequest.organisation + "'; apply one or correct the header field Vanillashunt-Customer" };
+    }
+    const auto* matchedClass = findClass(found->second.terms, callerRequest.service, callerRequest.method, pathWithoutQuery(callerRequest.path));
+    if (!matchedClass) {
+        return early_refusal { verdict::notRun(verdict_reason::UnknownClass), "the contract of customer '" + callerRequest.organisation + "' has no class for " + callerRequest.method + " of service '" + callerRequest.service + "' at " + pathWithoutQuery(callerRequest.path) };
+    }
+    context.organisation = callerRequest.organisation;
+    context.requestClass = matchedClass->name;
+    context.level = matchedClass->level;
+    context.position = sheddingPosition(matchedClass->level, context.requestId);
+    context.idempotent = matchedClass->idempotent;
+    auto time = callerRequest.timeout ? std::min(*callerRequest.timeout, matchedClass->deadline) : matchedClass->deadline;
     context.deadline = now + time;
-    auto history = readHistory(asked, brought, kind->retries);
-    call.progress = call_progress(kind->idempotent, history.tokens, history.earlierMayHaveRun);
-    call.callerAttempt = asked.attempt;
+    auto history = readHistory(callerRequest, receivedContext, matchedClass->retries);
+    call.progress = call_progress(matchedClass->idempotent, history.tokens, history.earlierMayHaveRun);
+    call.callerAttempt = callerRequest.attempt;
     return std::nullopt;
 }
 
-std::optional<outbound_calls::early_refusal> outbound_calls::stopRefusal(const outbound_call& call) const
+std::optional<outbound_calls::early_refusal> outbound_calls::intakeRefusal(const outbound_call& call) const
 {
     if (accepts(m_intake, call.parentRun != 0)) {
         return std::nullopt;
     }
-    return early_refusal { verdict::notRun(verdict_reason::Draining), "this node stops; repeat the request at another" };
+    return early_refusal { verdict::notRun(verdict_reason::Draining), "this node is stopping; retry the request at another node" };
 }
 
-// An onward call is never refused here: its whole request was let in at this very
-// position, and its run would be wasted. Neither is a repeat that brings a ticket,
-// which may only want the answer that its home keeps for it.
+// Onward calls are never refused here: the whole request was admitted at the same
+// position, and refusing a part of it would waste the run. A repeated request with a
+// ticket is not refused either, since its home may already keep the answer to it.
 std::optional<outbound_calls::early_refusal> outbound_calls::entranceRefusal(const outbound_call& call, std::chrono::steady_clock::time_point now)
 {
     if (call.parentRun != 0 || call.progress.permit()) {
@@ -146,9 +146,9 @@
     return early_refusal { *refusal, "a service that the request needs would refuse it now" };
 }
 
-void outbound_calls::learnAtEntrance(const outbound_call& call, const call_answer& answer, std::chrono::steady_clock::time_point now)
+void outbound_calls::updateEntranceGate(const outbound_call& call, const call_answer& answer, std::chrono::steady_clock::time_point now)
 {
-    // An answer that no admission gate has seen tells nothing of the cut.
+    // A limit of 0 means that no admission gate has handled the call, so the cut is not set.
     if (call.parentRun != 0 || answer.limit == 0) {
         return;
     }
@@ -159,48 +159,48 @@
     }
 }
 
-std::uint64_t outbound_calls::start(caller_request asked, final_handler handler, std::chrono::steady_clock::time_point now)
+std::uint64_t outbound_calls::start(caller_request callerRequest, final_answer_handler handler, std::chrono::steady_clock::time_point now)
 {
     auto callId = m_hooks.random();
-    auto brought = parseContextText(asked.context);
+    auto receivedContext = parseContextText(callerRequest.context);
     outbound_call call;
     call.handler = std::move(handler);
     call.request.callId = callId;
     call.arrived = now;
-    auto refusal = classify(asked, brought, call, now);
-    if (asked.permit) {
-        call.progress.setPermit(*asked.permit, permit_origin::Brought);
-    }
-    call.request.service = std::move(asked.service);
-    call.request.method = std::move(asked.method);
-    call.request.path = std::move(asked.path);
-    call.request.fields = std::move(asked.fields);
-    call.request.body = std::move(asked.body);
+    auto refusal = classify(callerRequest, receivedContext, call, now);
+    if (callerRequest.permit) {
+        call.progress.setPermit(*callerRequest.permit, permit_origin::Brought);
+    }
+    call.request.service = std::move(callerRequest.service);
+    call.request.method = std::move(callerRequest.method);
+    call.request.path = std::move(callerRequest.path);
+    call.request.fields = std::move(callerRequest.fields);
+    call.request.body = std::move(callerRequest.body);
     if (!refusal) {
-        refusal = stopRefusal(call);
+        refusal = intakeRefusal(call);
     }
     if (!refusal) {
         refusal = entranceRefusal(call, now);
     }
     m_calls.emplace(callId, std::move(call));
     if (refusal) {
-        finish(callId, answerWithout(callId, 0, refusal->why), refusal->message, now);
+        finish(callId, answerWithout(callId, 0, refusal->cause), refusal->message, now);
         return callId;
     }
     m_retryBudget.firstAttempt(m_calls.at(callId).request.service);
-    bool claimNeeded = !asked.idempotencyKey.empty() && m_calls.at(callId).progress.needsPermit() && m_calls.at(callId).parentRun == 0;
+    bool claimNeeded = !callerRequest.idempotencyKey.empty() && m_calls.at(callId).progress.needsPermit() && m_calls.at(callId).parentRun == 0;
     if (claimNeeded) {
-        startClaim(callId, asked.idempotencyKey, now);
+        startClaim(callId, callerRequest.idempotencyKey, now);
     } else if (m_calls.at(callId).progress.mustNotRun()) {
-        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::TicketUnknown)), "an earlier try may have run; repeat a non-idempotent request with its Idempotency-Key or with the ticket of the last refusal", now);
+        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::TicketUnknown)), "an earlier attempt may have run; retry a non-idempotent request with its Idempotency-Key or with the ticket from the last refusal", now);
     } else {
         attempt(callId, now);
     }
     return callId;
 }
 
-// A key without a ticket may be a repeat of a request that came through another
-// node, so the store has to say which ticket stands for it.
+// A request with an Idempotency-Key but no ticket may repeat one that was made through
+// another node, so the store has to tell which ticket belongs to the key.
 void outbound_calls::startClaim(std::uint64_t callId, const std::string& idempotencyKey, std::chrono::steady_clock::time_point now)
 {
     auto& call = m_calls.at(callId);
@@ -209,42 +209,42 @@
         attempt(callId, now);
         return;
     }
-    call.claiming = mintTicket(*target, m_hooks.random(), now);
-    call.claiming->claimed = true;
+    call.pendingClaim = mintTicket(*target, m_hooks.random(), now);
+    call.pendingClaim->claimed = true;
     if (!m_claimBudget.take(m_liveNodes, now)) {
         claimAnswered(callId, claim_unknown {}, now);
         return;
     }
-    m_hooks.claim(callId, call.request.context.organisation, idempotencyKey, *call.claiming);
+    m_hooks.claim(callId, call.request.context.organisation, idempotencyKey, *call.pendingClaim);
 }
 
 void outbound_calls::claimAnswered(std::uint64_t callId, const claim_result& result, std::chrono::steady_clock::time_point now)
 {
     auto found = m_calls.find(callId);
-    if (found == m_calls.end() || !found->second.claiming) {
+    if (found == m_calls.end() || !found->second.pendingClaim) {
         return;
     }
     auto& call = found->second;
-    auto own = *call.claiming;
-    call.claiming.reset();
+    auto ownTicket = *call.pendingClaim;
+    call.pendingClaim.reset();
     if (std::holds_alternative<claim_unknown>(result)) {
         if (call.progress.mustNotRun()) {
-            // The store may hold a claim of an earlier try, and only it knows.
-            auto why = verdict::mayHaveRun(verdict_reason::TicketNeeded);
-            why.retryAfter = unavailableRetryAfter(m_hooks.random());
-            finish(callId, answerWithout(callId, 0, why), "the store that knows this Idempotency-Key does not answer; repeat the request later", now);
+            // The store may hold a claim of an earlier attempt, which is unknown here.
+            auto cause = verdict::mayHaveRun(verdict_reason::TicketNeeded);
+            cause.retryAfter = unavailableRetryAfter(m_hooks.random());
+            finish(callId, answerWithout(callId, 0, cause), "the store that holds the claim of this Idempotency-Key does not answer; retry the request later", now);
             return;
         }
-        // The ticket goes to the caller unused: its repeat needs no store.
-        call.progress.setPermit(own, permit_origin::Brought);
-        finish(callId, answerWithout(callId, 0, verdict::notRun(verdict_reason::TicketNeeded)), "repeat the request with the enclosed ticket", now);
+        // The caller gets the unused ticket, and can retry with it without the store.
+        call.progress.setPermit(ownTicket, permit_origin::Brought);
+        finish(callId, answerWithout(callId, 0, verdict::notRun(verdict_reason::TicketNeeded)), "retry the request with the enclosed ticket", now);
         return;
     }
     call.progress.claimKnown();
-    if (const auto* standing = std::get_if<claim_standing>(&result)) {
-        call.progress.setPermit(standing->permit, permit_origin::Brought);
+    if (const auto* existing = std::get_if<claim_standing>(&result)) {
+        call.progress.setPermit(existing->permit, permit_origin::Brought);
     } else {
-        call.progress.setPermit(own, permit_origin::Brought);
+        call.progress.setPermit(ownTicket, permit_origin::Brought);
     }
     attempt(callId, now);
 }
@@ -262,8 +262,8 @@
     auto& call = m_calls.at(callId);
     auto target = chooseTarget(call, now);
     if (!target) {
-        auto why = call.progress.permit() ? verdict::mayHaveRun(verdict_reason::TicketUnknown) : verdict::notRun(verdict_reason::NoBackendServer);
-        finish(callId, answerWithout(callId, call.progress.attempts(), why), "no backend server of service '" + call.request.service + "' can take the request now", now);
+        auto cause = call.progress.permit() ? verdict::mayHaveRun(verdict_reason::TicketUnknown) : verdict::notRun(verdict_reason::NoBackendServer);
+        finish(callId, answerWithout(callId, call.progress.attempts(), cause), "no backend server of service '" + call.request.service + "' can accept the request now", now);
         return;
     }
     if (call.progress.needsPermit()) {
@@ -276,7 +276,7 @@
     call.target = target->id;
     call.attemptStarted = now;
     call.attemptId = m_hooks.random();
-    m_callOfAttempt[call.attemptId] = callId;
+    m_callByAttempt[call.attemptId] = callId;
     m_router.started(target->id, now);
     observe(call, start.attempt > 1 ? call_decision::Retry : call_decision::Attempt, now, target->name);
     m_hooks.send(call.attemptId, *target, call.request);
@@ -284,7 +284,7 @@
 
 void outbound_calls::attemptAnswered(std::uint64_t attemptId, call_answer answer, std::chrono::steady_clock::time_point now)
 {
-    auto node = m_callOfAttempt.extract(attemptId);
+    auto node = m_callByAttempt.extract(attemptId);
     if (!node) {
         return;
     }
@@ -292,12 +292,12 @@
     auto& call = m_calls.at(callId);
     route_outcome outcome { answer.outcome, std::chrono::duration_cast<std::chrono::microseconds>(now - call.attemptStarted), answer.cut, answer.inFlight, answer.limit };
     m_router.finished(call.target, outcome, now);
-    // A node that answers tells its limit, also where its backend server lost the answer.
-    bool nothingCameBack = answer.limit == 0 && (answer.outcome.reason == verdict_reason::PeerUnreachable || answer.outcome.reason == verdict_reason::AnswerLost);
-    m_hooks.ended(call.target, !nothingCameBack);
+    // Every node that responds reports its limit, even if its backend server's answer was lost.
+    bool noResponse = answer.limit == 0 && (answer.outcome.reason == verdict_reason::PeerUnreachable || answer.outcome.reason == verdict_reason::AnswerLost);
+    m_hooks.attemptEnded(call.target, !noResponse);
     call.attemptId = 0;
     call.cut = std::max(call.cut, answer.cut);
-    learnAtEntrance(call, answer, now);
+    updateEntranceGate(call, answer, now);
     if (answer.outcome.reason != verdict_reason::Answered) {
         observe(call, call_decision::AttemptFailed, now, answer, "");
     }
@@ -305,7 +305,7 @@
     bool retry = call.progress.mayRetry(call.request.context.deadline, now)
         && (call.progress.repeatsUse() || m_retryBudget.takeRetry(call.request.service));
     if (!retry) {
-        finish(callId, std::move(answer), "the request was given up", now);
+        finish(callId, std::move(answer), "the request failed and this node does not retry it further", now);
         return;
     }
     call.progress.retry();
@@ -333,7 +333,7 @@
     if (entry) {
         result.context = toString(context_text { result.requestId, 0, call.progress.tokens(), run != execution::NotRun, call.callerAttempt });
     }
-    bool succeeded = run == execution::Ran && answer.status < leastErrorStatus;
+    bool succeeded = run == execution::Ran && answer.status < minErrorStatus;
     if (!succeeded && entry && !call.request.context.idempotent) {
         result.permit = permitForRepeat(call, run, now);
     }
@@ -342,8 +342,8 @@
     call.handler(std::move(result));
 }
 
-// The ticket that stands for the request from now on. Only a call that holds none
-// may get a new one: a second ticket beside one that can still run would be a second run.
+// Returns the ticket that the caller has to retry the request with. Only a call without
+// a ticket may get a new one: with a second ticket the request could run twice.
 std::optional<ticket> outbound_calls::permitForRepeat(const outbound_call& call, execution run, std::chrono::steady_clock::time_point now)
 {
     if (call.progress.permit() || run != execution::NotRun) {
@@ -366,13 +366,13 @@
     if (!m_hooks.observed) {
         return;
     }
-    call_observation seen { decision, call.request.context, now };
-    seen.outcome = answer.outcome;
-    seen.detail = detail;
-    seen.whole = call.parentRun == 0;
-    seen.status = answer.status;
-    seen.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived);
-    m_hooks.observed(seen);
+    call_observation observation { decision, call.request.context, now };
+    observation.outcome = answer.outcome;
+    observation.detail = detail;
+    observation.whole = call.parentRun == 0;
+    observation.status = answer.status;
+    observation.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived);
+    m_hooks.observed(observation);
 }
 
 void outbound_calls::abandonAttempt(outbound_call& call, std::chrono::steady_clock::time_point now)
@@ -381,7 +381,7 @@
         return;
     }
     m_hooks.cancelAttempt(call.attemptId);
-    m_callOfAttempt.erase(call.attemptId);
+    m_callByAttempt.erase(call.attemptId);
     m_router.cancelled(call.target, now);
     call.progress.abandoned();
     call.attemptId = 0;
@@ -395,13 +395,13 @@
     }
     auto& call = node.mapped();
     abandonAttempt(call, now);
-    observe(call, call_decision::Finished, now, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the caller left");
+    observe(call, call_decision::Finished, now, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the caller left before it got an answer");
     if (call.parentRun != 0) {
         m_inbound.onwardFinished(call.parentRun, call.progress.tokens(), call.cut);
     }
 }
 
-void outbound_calls::cancelOnwardOf(std::uint64_t runId, std::chrono::steady_clock::time_point now)
+void outbound_calls::cancelOnwardCalls(std::uint64_t runId, std::chrono::steady_clock::time_point now)
 {
     std::vector<std::uint64_t> onward;
     for (const auto& [callId, call] : m_calls) {
@@ -411,24 +411,24 @@
     }
     for (auto callId : onward) {
         abandonAttempt(m_calls.at(callId), now);
-        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the run that made this call was given up", now);
+        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the run that made this call was abandoned", now);
     }
 }
 
 void outbound_calls::tick(std::chrono::steady_clock::time_point now)
 {
     auto deadlinePassed = [now](const outbound_call& call) { return call.request.context.deadline <= now; };
-    endCalls(deadlinePassed, verdict_reason::DeadlinePassed, "the time of the request is over", now);
+    endCalls(deadlinePassed, verdict_reason::DeadlinePassed, "the deadline of the request has passed", now);
 }
 
 void outbound_calls::endAll(std::chrono::steady_clock::time_point now)
 {
     m_intake = call_intake::None;
     auto everyCall = [](const outbound_call&) { return true; };
-    endCalls(everyCall, verdict_reason::Draining, "this node stops; repeat the request at another", now);
+    endCalls(everyCall, verdict_reason::Draining, "this node is stopping; retry the request at another node", now);
 }
 
-void outbound_calls::endCalls(const std::function<bool(const outbound_call&)>& shouldEnd, verdict_reason why, const std::string& message, std::chrono::steady_clock::time_point now)
+void outbound_calls::endCalls(const std::function<bool(const outbound_call&)>& shouldEnd, verdict_reason cause, const std::string& message, std::chrono::steady_clock::time_point now)
 {
     std::vector<std::uint64_t> callIds;
     for (const auto& [callId, call] : m_calls) {
@@ -439,7 +439,7 @@
     for (auto callId : callIds) {
         auto& call = m_calls.at(callId);
         abandonAttempt(call, now);
-        finish(callId, answerWithout(callId, call.progress.attempts(), verdict::notRun(why)), message, now);
+        finish(callId, answerWithout(callId, call.progress.attempts(), verdict::notRun(cause)), message, now);
     }
 }
 
--- a/Source/node/planned_stop.cpp
+++ b/Source/node/planned_stop.cpp
@@ -2,10 +2,10 @@
 
 namespace vanillashunt {
 
-planned_stop::planned_stop(std::chrono::milliseconds drainTimeout, std::chrono::milliseconds spreadTime, std::chrono::milliseconds workTime)
+planned_stop::planned_stop(std::chrono::milliseconds drainTimeout, std::chrono::milliseconds propagationTime, std::chrono::milliseconds acceptTime)
     : m_drainTimeout(drainTimeout)
-    , m_spreadTime(spreadTime)
-    , m_workTime(workTime)
+    , m_propagationTime(propagationTime)
+    , m_acceptTime(acceptTime)
 {
 }
 
@@ -19,7 +19,7 @@
 
 void planned_stop::withdraw(stop_reason reason)
 {
-    // A process that was told to exit exits.
+    // SIGTERM cannot be withdrawn.
     if (reason != stop_reason::Signal) {
         m_reasons.erase(reason);
     }
@@ -28,12 +28,12 @@
 bool planned_stop::refusesWork(std::chrono::steady_clock::time_point now) const
 {
     bool onlySignal = exiting() && m_reasons.size() == 1;
-    return draining() && !(onlySignal && now - m_exitRequested < m_workTime);
+    return draining() && !(onlySignal && now - m_exitRequested < m_acceptTime);
 }
 
 bool planned_stop::mayClosePorts(std::chrono::steady_clock::time_point now) const
 {
-    return exiting() && now - m_exitRequested >= m_spreadTime;
+    return exiting() && now - m_exitRequested >= m_propagationTime;
 }
 
 bool planned_stop::mayExit(bool idle, std::chrono::steady_clock::time_point now) const
--- a/Source/node/seed_keeper.cpp
+++ b/Source/node/seed_keeper.cpp
@@ -12,20 +12,21 @@
 
     constexpr milliseconds callTimeout { 2000 };
     constexpr milliseconds refreshPeriod { 60000 };
-    constexpr milliseconds firstAloneRead { 250 };
-    constexpr milliseconds lastAloneRead { 30000 };
-    // From the store's return from a copy until seeds are looked after; spread by half.
-    constexpr milliseconds returnPause { 600 };
-    constexpr milliseconds firstBackoff { 1000 };
-    constexpr milliseconds lastBackoff { 60000 };
-    // Seeds that were read get this many reads' time to answer before a node that
-    // is still alone takes the place of one.
+    constexpr milliseconds initialAloneReadDelay { 250 };
+    constexpr milliseconds maxAloneReadDelay { 30000 };
+    // Delay from the restoration of the store until the seeds are read again; jitter changes
+    // it by up to half.
+    constexpr milliseconds storeReturnedDelay { 600 };
+    constexpr milliseconds initialBackoff { 1000 };
+    constexpr milliseconds maxBackoff { 60000 };
+    // Seeds that were read have the time of this many reads to respond before a node that is
+    // still alone replaces one.
     constexpr std::uint32_t readsBeforeReplacing = 4;
 
-    milliseconds doubled(milliseconds first, std::uint32_t times, milliseconds last)
+    milliseconds exponentialDelay(milliseconds initial, std::uint32_t doublings, milliseconds max)
     {
-        constexpr std::uint32_t mostTimes = 16;
-        return std::min(last, first * (1 << std::min(times, mostTimes)));
+        constexpr std::uint32_t maxDoublings = 16;
+        return std::min(max, initial * (1 << std::min(doublings, maxDoublings)));
     }
 
 }
@@ -45,8 +46,8 @@
     if (hasBecomeAlone) {
         m_nextRead = now;
     }
-    bool first = m_counts.reads == 0;
-    if (m_calling || now < m_nextRead || !(first || duty.alone || duty.number)) {
+    bool isFirstRead = m_counts.reads == 0;
+    if (m_calling || now < m_nextRead || !(isFirstRead || duty.alone || duty.number)) {
         return;
     }
     read();
@@ -54,7 +55,7 @@
 
 void seed_keeper::storeReturned(time_point now)
 {
-    readAgainAfter(returnPause, now);
+    scheduleRead(storeReturnedDelay, now);
 }
 
 void seed_keeper::read()
@@ -65,31 +66,31 @@
         m_calling = false;
         auto now = m_hooks.now();
         if (const auto* range = std::get_if<store_range>(&result)) {
-            seedsArrived(*range, now);
+            handleSeeds(*range, now);
         } else {
             callFailed(now);
         }
     });
 }
 
-void seed_keeper::seedsArrived(const store_range& range, time_point now)
+void seed_keeper::handleSeeds(const store_range& range, time_point now)
 {
-    m_failuresInARow = 0;
+    m_consecutiveFailures = 0;
     m_readsWhileAlone = m_duty.alone ? m_readsWhileAlone + 1 : 0;
-    auto pause = m_duty.alone ? doubled(firstAloneRead, m_readsWhileAlone, lastAloneRead) : refreshPeriod;
-    readAgainAfter(pause, now);
+    auto delay = m_duty.alone ? exponentialDelay(initialAloneReadDelay, m_readsWhileAlone, maxAloneReadDelay) : refreshPeriod;
+    scheduleRead(delay, now);
     std::vector<std::string> addresses;
     for (const auto& entry : range.entries) {
         addresses.push_back(entry.value);
     }
     m_hooks.seedsRead(std::move(addresses));
-    keepOwn(range);
+    writeOwnSeed(range);
 }
 
-void seed_keeper::keepOwn(const store_range& range)
+void seed_keeper::writeOwnSeed(const store_range& range)
 {
-    bool others = std::any_of(range.entries.begin(), range.entries.end(), [this](const store_entry& entry) { return entry.value != m_address; });
-    bool mayReplace = !m_duty.alone || !others || m_readsWhileAlone > readsBeforeReplacing;
+    bool hasOtherSeeds = std::any_of(range.entries.begin(), range.entries.end(), [this](const store_entry& entry) { return entry.value != m_address; });
+    bool mayReplace = !m_duty.alone || !hasOtherSeeds || m_readsWhileAlone > readsBeforeReplacing;
     if (!m_duty.number || !mayReplace) {
         return;
     }
@@ -104,7 +105,7 @@
     write(key, expectedRevision);
 }
 
-// A write that was lost, or lost a race, is looked after by the next read.
+// A write that fails, or that loses a race with another node, is repeated after the next read.
 void seed_keeper::write(const std::string& key, std::int64_t expectedRevision)
 {
     m_calling = true;
@@ -125,15 +126,15 @@
 void seed_keeper::callFailed(time_point now)
 {
     ++m_counts.failures;
-    readAgainAfter(doubled(firstBackoff, m_failuresInARow, lastBackoff), now);
-    ++m_failuresInARow;
+    scheduleRead(exponentialDelay(initialBackoff, m_consecutiveFailures, maxBackoff), now);
+    ++m_consecutiveFailures;
 }
 
-// Spread by half the time either way, so that nodes do not call in step.
-void seed_keeper::readAgainAfter(milliseconds pause, time_point now)
+// Adds jitter of up to half the delay either way, so that nodes do not call the store at the same time.
+void seed_keeper::scheduleRead(milliseconds delay, time_point now)
 {
-    auto jitter = m_hooks.random(static_cast<std::uint64_t>(pause.count()));
-    m_nextRead = now + pause / 2 + milliseconds(jitter);
+    auto jitter = m_hooks.random(static_cast<std::uint64_t>(delay.count()));
+    m_nextRead = now + delay / 2 + milliseconds(jitter);
 }
 
 }
--- a/Source/node/seed_keeper.h
+++ b/Source/node/seed_keeper.h
@@ -11,18 +11,19 @@
 
 namespace vanillashunt {
 
-// What this node's part in keeping the seeds is at present.
+// This node's current role in keeping the seeds of its availability zone.
 struct seed_duty {
-    // Which of the zone's seeds is to hold the own address; nothing for most nodes.
+    // The number of the seed that is to hold this node's address; std::nullopt for most nodes.
     std::optional<std::size_t> number;
-    // Whether the node knows nobody that answers.
+    // Whether the node knows no member that responds.
     bool alone = true;
 };
 
 struct seed_keeper_hooks {
     std::function<void(std::vector<std::string> addresses)> seedsRead;
+    // Returns a random number below the bound.
     std::function<std::uint64_t(std::uint64_t bound)> random;
-    // When an answer of the store arrives.
+    // Returns the present time; called when an answer of the store arrives.
     std::function<std::chrono::steady_clock::time_point()> now;
 };
 
@@ -33,8 +34,8 @@
 };
 
 // Reads the seeds from the platform's store at the start and while the node is
-// alone, and keeps the own address there while that is its duty. All other nodes
-// leave the store in peace, so that its calls do not grow with the fleet.
+// alone, and keeps this node's address in a seed while that is its duty. Otherwise it
+// does not call the store, whose load therefore does not grow with the number of nodes.
 class seed_keeper {
 public:
     using time_point = std::chrono::steady_clock::time_point;
@@ -44,21 +45,21 @@
 
     void tick(const seed_duty&, time_point now);
 
-    // The store has come back from an earlier copy: whoever keeps a seed looks after it soon.
+    // The store was restored from an earlier copy of its data. A node that keeps a seed checks it soon.
     void storeReturned(time_point now);
 
-    // Whether a call to the store is under way.
+    // Whether a call to the store is in progress.
     bool calling() const { return m_calling; }
 
     const seed_keeper_counts& counts() const { return m_counts; }
 
 private:
     void read();
-    void seedsArrived(const store_range&, time_point now);
-    void keepOwn(const store_range&);
+    void handleSeeds(const store_range&, time_point now);
+    void writeOwnSeed(const store_range&);
     void write(const std::string& key, std::int64_t expectedRevision);
     void callFailed(time_point now);
-    void readAgainAfter(std::chrono::milliseconds, time_point now);
+    void scheduleRead(std::chrono::milliseconds, time_point now);
 
     metadata_store& m_store;
     std::string m_zone;
@@ -68,7 +69,7 @@
     seed_duty m_duty;
     bool m_calling = false;
     std::uint32_t m_readsWhileAlone = 0;
-    std::uint32_t m_failuresInARow = 0;
+    std::uint32_t m_consecutiveFailures = 0;
     time_point m_nextRead;
 };
 
--- a/Source/node/settings_watch.cpp
+++ b/Source/node/settings_watch.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // A look costs one system call; nobody waits for a change of the settings.
+    // Each check costs one system call; a change of the settings is not urgent.
     constexpr std::chrono::milliseconds checkPeriod { 2000 };
 
-    // The same time for a file that cannot be looked at.
-    std::filesystem::file_time_type writtenAt(const std::string& fileName)
+    // Returns the minimum time for a file whose modification time cannot be read.
+    std::filesystem::file_time_type lastWriteTime(const std::string& fileName)
     {
         std::error_code error;
         auto time = std::filesystem::last_write_time(fileName, error);
@@ -21,7 +21,7 @@
 
 settings_watch::settings_watch(settings_source source)
     : m_source(std::move(source))
-    , m_written(writtenAt(m_source.fileName))
+    , m_lastWriteTime(lastWriteTime(m_source.fileName))
 {
 }
 
@@ -31,14 +31,14 @@
         return;
     }
     m_nextCheck = now + checkPeriod;
-    if (writtenAt(m_source.fileName) != m_written) {
+    if (lastWriteTime(m_source.fileName) != m_lastWriteTime) {
         reread();
     }
 }
 
 void settings_watch::reread()
 {
-    m_written = writtenAt(m_source.fileName);
+    m_lastWriteTime = lastWriteTime(m_source.fileName);
     auto settings = m_source.reread();
     if (settings) {
         setLogLevel(settings->logLevel);
--- a/Source/node/settings_watch.h
+++ b/Source/node/settings_watch.h
@@ -7,22 +7,22 @@
 
 namespace vanillashunt {
 
-// Notices that the settings file has changed, by a signal or without one, and puts
-// in force what may change while the process runs: the least severity that is
-// logged. Everything else is bound to ports, or to the life of the process.
+// Detects changes of the settings file, and reads it again on a signal. Applies the one
+// setting that may change while the process runs, the minimum severity of log events.
+// All others need a restart, since ports or the whole process depend on them.
 class settings_watch {
 public:
     explicit settings_watch(settings_source);
 
-    // Looks at the file every few seconds; to be called more often.
+    // Checks the file's modification time every few seconds; has to be called more often.
     void check(std::chrono::steady_clock::time_point now);
 
-    // Reads the file now. One that is wrong changes nothing.
+    // Reads the file now. An invalid file changes nothing.
     void reread();
 
 private:
     settings_source m_source;
-    std::filesystem::file_time_type m_written;
+    std::filesystem::file_time_type m_lastWriteTime;
     std::chrono::steady_clock::time_point m_nextCheck;
 };
 
--- a/Tests/PlannedStop/planned_stop_test.cpp
+++ b/Tests/PlannedStop/planned_stop_test.cpp
@@ -11,7 +11,7 @@
 
 }
 
-TEST(PlannedStop, APausedServerMayBeTakenBackAndASignalMayNot)
+TEST(PlannedStop, OperatorRequestCanBeWithdrawnButSignalCannot)
 {
     time_point now;
     planned_stop stop { milliseconds(30000) };
@@ -25,7 +25,7 @@
     EXPECT_TRUE(stop.exiting());
 }
 
-TEST(PlannedStop, ExitsWhenIdleAndTheNewsIsOutOrAtTheTimeout)
+TEST(PlannedStop, ExitsWhenIdleAfterThePropagationTimeOrAtTheDrainTimeout)
 {
     time_point now;
     planned_stop stop { milliseconds(30000) };
@@ -37,11 +37,11 @@
     EXPECT_TRUE(stop.mayExit(false, now + milliseconds(30000)));
 }
 
-// The load: the nodes of a service are stopped one after the other, 1.3 s apart, while a
-// zone is cut off, and their servers go on beside them. Each was without a node from the
-// signal until its next report to the new process, some four seconds; two at a time
-// left the service without a server, and 44% were served.
-TEST(PlannedStop, WorksOnUntilTheRunsJustEndBeforeTheExit)
+// Guards against a node that refuses work as soon as it is signalled. Its backend server then
+// gets no work until it reports to the new process, about four seconds later. When the nodes of
+// a service were stopped one after the other, 1.3 s apart, while an availability zone was cut
+// off, two backend servers at a time were idle, and only 44% of the requests were served.
+TEST(PlannedStop, AcceptsWorkForTheAcceptTimeAfterTheSignal)
 {
     time_point now;
     planned_stop stop { milliseconds(5400), milliseconds(2600), milliseconds(1600) };
@@ -53,16 +53,16 @@
     EXPECT_FALSE(stop.mayExit(true, now + milliseconds(1600)));
 }
 
-TEST(PlannedStop, RefusesWorkAtOnceForAnyOtherReason)
+TEST(PlannedStop, RefusesWorkAtOnceForOtherReasonsOrWithoutAcceptTime)
 {
     time_point now;
     planned_stop stop { milliseconds(5400), milliseconds(2600), milliseconds(1600) };
     stop.request(stop_reason::Signal, now);
     stop.request(stop_reason::BackendServer, now);
     EXPECT_TRUE(stop.refusesWork(now));
-    planned_stop plain { milliseconds(30000) };
-    plain.request(stop_reason::Signal, now);
-    EXPECT_TRUE(plain.refusesWork(now));
+    planned_stop withoutAcceptTime { milliseconds(30000) };
+    withoutAcceptTime.request(stop_reason::Signal, now);
+    EXPECT_TRUE(withoutAcceptTime.refusesWork(now));
 }
 
 }
--- a/Tests/SeedKeeping/seed_keeping_test.cpp
+++ b/Tests/SeedKeeping/seed_keeping_test.cpp
@@ -18,7 +18,7 @@
     constexpr int fleetSize = 20;
     constexpr milliseconds tickPeriod { 250 };
 
-    // A zone's seed keepers in one process, on a clock of the test's own.
+    // The seed keepers of an availability zone in one process, with a simulated clock.
     class keeper_fleet {
     public:
         explicit keeper_fleet(const std::string& storeAddress)
@@ -26,23 +26,23 @@
         {
             for (int number = 0; number < fleetSize; ++number) {
                 seed_keeper_hooks hooks;
-                hooks.seedsRead = [this](const std::vector<std::string>& addresses) { seen = addresses; };
+                hooks.seedsRead = [this](const std::vector<std::string>& addresses) { seedAddresses = addresses; };
                 hooks.random = [this](std::uint64_t bound) { return m_random() % bound; };
                 hooks.now = [this] { return m_now; };
                 keepers.push_back(std::make_unique<seed_keeper>(m_store, "bangsar", "192.0.2." + std::to_string(number) + ":7002", hooks));
             }
         }
 
-        void run(milliseconds time, std::size_t nodesWithDuty, bool alone)
+        void run(milliseconds duration, std::size_t nodesWithDuty, bool alone)
         {
-            for (auto end = m_now + time; m_now < end; m_now += tickPeriod) {
+            for (auto end = m_now + duration; m_now < end; m_now += tickPeriod) {
                 for (std::size_t number = 0; number < keepers.size(); ++number) {
                     seed_duty duty;
                     duty.number = number < nodesWithDuty ? std::optional<std::size_t>(number) : std::nullopt;
                     duty.alone = alone;
                     keepers[number]->tick(duty, m_now);
                 }
-                // All answers arrive before the clock goes on.
+                // Wait for all answers before the clock advances.
                 while (std::any_of(keepers.begin(), keepers.end(), [](const auto& keeper) { return keeper->calling(); })) {
                     m_context.run_one();
                 }
@@ -61,7 +61,7 @@
         }
 
         std::vector<std::unique_ptr<seed_keeper>> keepers;
-        std::vector<std::string> seen;
+        std::vector<std::string> seedAddresses;
 
     private:
         boost::asio::io_context m_context;
@@ -80,19 +80,19 @@
     EXPECT_EQ(fleet.total().writes, 3U);
     auto before = fleet.total().reads;
     fleet.run(minutes(10), 3, false);
-    EXPECT_EQ(fleet.seen.size(), 3U);
+    EXPECT_EQ(fleet.seedAddresses.size(), 3U);
     EXPECT_EQ(fleet.total().writes, 3U);
-    // Three nodes, about once a minute.
+    // Three nodes read the seeds about once a minute each.
     EXPECT_GE(fleet.total().reads - before, 3U * 6);
     EXPECT_LE(fleet.total().reads - before, 3U * 20);
     EXPECT_EQ(fleet.keepers.back()->counts().reads, 1U);
-    // Were it everyone's duty, the same time would show it.
+    // Shows that the upper bound is exceeded if every node has the duty.
     before = fleet.total().reads;
     fleet.run(minutes(10), fleetSize, false);
     EXPECT_GT(fleet.total().reads - before, 3U * 20);
 }
 
-TEST(SeedKeeping, NodesCallAStoreThatIsDownEverMoreRarely)
+TEST(SeedKeeping, NodesBackOffFromAStoreThatIsDown)
 {
     stand_in platform({ "platform" });
     platform.control(R"({"down":true})");
@@ -101,12 +101,12 @@
     auto calls = fleet.total();
     EXPECT_EQ(calls.failures, calls.reads);
     EXPECT_EQ(calls.writes, 0U);
-    // Seven reads until the pause is a minute, then about ten more.
+    // Seven reads until the delay is a minute, then about ten more.
     EXPECT_LE(calls.reads, fleetSize * 30U);
     platform.control(R"({"down":false})");
     fleet.run(minutes(3), 1, true);
     EXPECT_EQ(fleet.total().writes, 1U);
-    EXPECT_EQ(fleet.seen.size(), 1U);
+    EXPECT_EQ(fleet.seedAddresses.size(), 1U);
 }
 
 }
--- a/Tests/TicketHandOver/ticket_hand_over_test.cpp
+++ b/Tests/TicketHandOver/ticket_hand_over_test.cpp
@@ -11,7 +11,7 @@
     constexpr std::uint64_t ownIncarnation = 7;
     constexpr std::uint64_t otherIncarnation = 8;
 
-    backend_announcement announced()
+    backend_announcement backendAnnouncement()
     {
         backend_announcement result;
         result.service = "desk";
@@ -20,23 +20,23 @@
         return result;
     }
 
-    // A home with a backend server, and the answers that it gave.
-    struct home {
-        home()
+    // A ticket's home node with a backend server; keeps the last answer that it gave.
+    struct home_node {
+        home_node()
         {
-            calls.setBackend(announced(), now);
+            calls.setBackend(backendAnnouncement(), now);
         }
 
         inbound_hooks hooks()
         {
             inbound_hooks result;
             result.run = [this](std::uint64_t, const std::string&, const call_request&) { ++runs; };
-            result.otherHome = [this](const std::string&, time_point) { return other; };
+            result.findOtherHome = [this](const std::string&, time_point) { return otherHome; };
             result.random = [this] { return ++random; };
             return result;
         }
 
-        const call_answer& ask(const ticket& permit)
+        const call_answer& send(const ticket& permit)
         {
             call_request request;
             request.service = "desk";
@@ -44,8 +44,8 @@
             request.context.idempotent = false;
             request.context.deadline = now + std::chrono::seconds(5);
             calls.arrive(
-                request, [this](const call_answer& answer) { last = answer; }, now);
-            return last;
+                request, [this](const call_answer& answer) { lastAnswer = answer; }, now);
+            return lastAnswer;
         }
 
         static std::optional<member> otherMember()
@@ -56,10 +56,10 @@
         }
 
         time_point now { std::chrono::seconds(1) };
-        std::optional<member> other = otherMember();
+        std::optional<member> otherHome = otherMember();
         std::uint64_t random = 100;
         int runs = 0;
-        call_answer last;
+        call_answer lastAnswer;
         inbound_calls calls { ownIncarnation, time_point(), hooks() };
     };
 
@@ -70,49 +70,49 @@
 
 }
 
-// A planned stop under load: a confirmed request has claimed its ticket at a home that began
-// to leave before the request came there.
-TEST(TicketHandOver, ALeavingHomeNamesOneSuccessorAndRunsNothing)
+// Guards against a request whose ticket can run nowhere after a planned stop. The request has
+// claimed its ticket, and the ticket's home starts to drain before the request arrives there.
+TEST(TicketHandOver, ADrainingHomeNamesOneSuccessorAndRunsNothing)
 {
-    home leaving;
-    leaving.calls.setDraining(true);
-    auto first = leaving.ask(claimedTicket());
+    home_node node;
+    node.calls.setDraining(true);
+    auto first = node.send(claimedTicket());
     EXPECT_EQ(first.outcome.run, execution::NotRun);
     EXPECT_EQ(first.outcome.reason, verdict_reason::Draining);
     ASSERT_TRUE(first.successor);
     EXPECT_EQ(first.successor->home, otherIncarnation);
     EXPECT_TRUE(first.successor->claimed);
-    auto repeat = leaving.ask(claimedTicket());
+    auto repeat = node.send(claimedTicket());
     EXPECT_EQ(repeat.outcome.run, execution::MayHaveRun);
     EXPECT_EQ(repeat.successor, first.successor);
-    // A stop that is withdrawn does not bring the ticket back.
-    leaving.calls.setDraining(false);
+    // The handed-over ticket stays invalid after the stop is withdrawn.
+    node.calls.setDraining(false);
     auto later = claimedTicket();
     later.use = first.nextUse;
-    EXPECT_EQ(leaving.ask(later).successor, first.successor);
-    EXPECT_EQ(leaving.runs, 0);
+    EXPECT_EQ(node.send(later).successor, first.successor);
+    EXPECT_EQ(node.runs, 0);
 }
 
-TEST(TicketHandOver, AHomeThatLostItsServerHandsOverToo)
+TEST(TicketHandOver, AHomeWithoutBackendServerHandsOverTheTicket)
 {
-    home bereft;
-    bereft.calls.setBackend(std::nullopt, bereft.now);
-    EXPECT_TRUE(bereft.ask(claimedTicket()).successor);
+    home_node node;
+    node.calls.setBackend(std::nullopt, node.now);
+    EXPECT_TRUE(node.send(claimedTicket()).successor);
 }
 
-TEST(TicketHandOver, WithoutAnotherHomeTheTicketStays)
+TEST(TicketHandOver, TheTicketStaysValidIfThereIsNoOtherHome)
 {
-    home leaving;
-    leaving.other = std::nullopt;
-    leaving.calls.setDraining(true);
-    auto refused = leaving.ask(claimedTicket());
+    home_node node;
+    node.otherHome = std::nullopt;
+    node.calls.setDraining(true);
+    auto refused = node.send(claimedTicket());
     EXPECT_EQ(refused.outcome.run, execution::NotRun);
     EXPECT_FALSE(refused.successor);
-    leaving.calls.setDraining(false);
+    node.calls.setDraining(false);
     auto later = claimedTicket();
     later.use = refused.nextUse;
-    leaving.ask(later);
-    EXPECT_EQ(leaving.runs, 1);
+    node.send(later);
+    EXPECT_EQ(node.runs, 1);
 }
 
 }
