--- a/Source/node/call_actor.h
+++ b/Source/node/call_actor.h
@@ -29,7 +29,7 @@
     admission_policy policy = admission_policy::Full;
     std::uint64_t incarnation = 0;
     std::chrono::steady_clock::time_point started;
-    node_place location;
+    node_location location;
 };
 
 // Owns the inbound and outbound calls in progress of one node, and carries out the
--- a/Source/node/inbound_calls.cpp
+++ b/Source/node/inbound_calls.cpp
@@ -21,16 +21,16 @@
         return size;
     }
 
-    verdict repeatVerdict(ledger_finding finding)
+    verdict repeatVerdict(ticket_state finding)
     {
         switch (finding) {
-        case ledger_finding::Ran:
+        case ticket_state::Ran:
             return verdict::ran(verdict_reason::AnswerNotKept);
-        case ledger_finding::Superseded:
+        case ticket_state::Superseded:
             return verdict::notRun(verdict_reason::TicketNeeded);
-        case ledger_finding::Lost:
+        case ticket_state::Lost:
             return verdict::mayHaveRun(verdict_reason::AnswerLost);
-        case ledger_finding::HandedOver:
+        case ticket_state::HandedOver:
             // Another attempt may already have used the successor ticket.
             return verdict::mayHaveRun(verdict_reason::TicketNeeded);
         default:
@@ -92,13 +92,13 @@
     if (request.permit) {
         auto nonce = request.permit->nonce;
         auto finding = m_ledger.begin(*request.permit, now);
-        if (finding == ledger_finding::Running) {
+        if (finding == ticket_state::Running) {
             // The repeated call waits for the answer to the attempt that is already running.
             auto running = m_arrivalByNonce.at(nonce);
             m_arrivals.at(running).waiters.push_back({ request.callId, request.attempt, std::move(answerCallback) });
             return running;
         }
-        if (finding != ledger_finding::Run) {
+        if (finding != ticket_state::Run) {
             answerRepeat(request, finding, answerCallback);
             return id;
         }
@@ -126,11 +126,11 @@
     return id;
 }
 
-void inbound_calls::answerRepeat(const call_request& request, ledger_finding finding, const answer_callback& answerCallback)
+void inbound_calls::answerRepeat(const call_request& request, ticket_state finding, const answer_callback& answerCallback)
 {
-    auto answer = answerWithout(request.callId, request.attempt, repeatVerdict(finding));
+    auto answer = makeCallAnswer(request.callId, request.attempt, repeatVerdict(finding));
     auto kept = m_keptAnswers.find(request.permit->nonce);
-    if (finding == ledger_finding::Ran && kept != m_keptAnswers.end()) {
+    if (finding == ticket_state::Ran && kept != m_keptAnswers.end()) {
         answer = *kept->second;
         answer.callId = request.callId;
         answer.attempt = request.attempt;
@@ -153,7 +153,7 @@
 {
     auto node = m_arrivals.extract(arrivalId);
     auto& entry = node.mapped();
-    auto answer = answerWithout(0, 0, cause);
+    auto answer = makeCallAnswer(0, 0, cause);
     recordTicketOutcome(entry.request, answer);
     handOver(entry.request, cause, now);
     reply(entry, answer);
@@ -194,7 +194,7 @@
         m_hooks.cancelRun(arrivalId);
         m_hooks.runAbandoned(arrivalId);
     }
-    recordTicketOutcome(entry.request, answerWithout(0, 0, verdict::notRun(verdict_reason::CallerGone)));
+    recordTicketOutcome(entry.request, makeCallAnswer(0, 0, verdict::notRun(verdict_reason::CallerGone)));
     m_arrivals.erase(found);
     m_gate.cancel(arrivalId, now);
     startReleasedCalls(now);
--- a/Source/node/inbound_calls.h
+++ b/Source/node/inbound_calls.h
@@ -100,7 +100,7 @@
     };
 
     std::optional<verdict> refusalBeforeGate(const call_request&) const;
-    void answerRepeat(const call_request&, ledger_finding, const answer_callback&);
+    void answerRepeat(const call_request&, ticket_state, const answer_callback&);
     void start(std::uint64_t arrivalId, std::chrono::steady_clock::time_point now);
     void refuse(std::uint64_t arrivalId, const verdict&, std::chrono::steady_clock::time_point now);
     void handOver(const call_request&, const verdict&, std::chrono::steady_clock::time_point now);
@@ -114,7 +114,7 @@
     inbound_hooks m_hooks;
     std::optional<backend_announcement> m_backend;
     admission_gate m_gate;
-    once_ledger m_ledger;
+    ticket_ledger m_ledger;
     bool m_draining = false;
     std::chrono::steady_clock::time_point m_nextLedgerCleanup;
     std::unordered_map<std::uint64_t, arrival> m_arrivals;
--- a/Source/node/outbound_calls.cpp
+++ b/Source/node/outbound_calls.cpp
@@ -153,9 +153,9 @@
         return;
     }
     auto request = entranceRequest(call.request.context);
-    m_entrance.learnCut(request, { answer.cut, answer.outcome.retryAfter }, now);
+    m_entrance.recordCut(request, { answer.cut, answer.outcome.retryAfter }, now);
     if (answer.outcome.run == execution::Ran && answer.outcome.reason == verdict_reason::Answered) {
-        m_entrance.learnTime(request, std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived), now);
+        m_entrance.recordDuration(request, std::chrono::duration_cast<std::chrono::microseconds>(now - call.arrived), now);
     }
 }
 
@@ -169,7 +169,7 @@
     call.arrived = now;
     auto refusal = classify(callerRequest, receivedContext, call, now);
     if (callerRequest.permit) {
-        call.progress.setPermit(*callerRequest.permit, permit_origin::Brought);
+        call.progress.setPermit(*callerRequest.permit, permit_origin::Received);
     }
     call.request.service = std::move(callerRequest.service);
     call.request.method = std::move(callerRequest.method);
@@ -184,7 +184,7 @@
     }
     m_calls.emplace(callId, std::move(call));
     if (refusal) {
-        finish(callId, answerWithout(callId, 0, refusal->cause), refusal->message, now);
+        finish(callId, makeCallAnswer(callId, 0, refusal->cause), refusal->message, now);
         return callId;
     }
     m_retryBudget.firstAttempt(m_calls.at(callId).request.service);
@@ -192,7 +192,7 @@
     if (claimNeeded) {
         startClaim(callId, callerRequest.idempotencyKey, now);
     } else if (m_calls.at(callId).progress.mustNotRun()) {
-        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::TicketUnknown)), "an earlier attempt may have run; retry a non-idempotent request with its Idempotency-Key or with the ticket from the last refusal", now);
+        finish(callId, makeCallAnswer(callId, 0, verdict::mayHaveRun(verdict_reason::TicketUnknown)), "an earlier attempt may have run; retry a non-idempotent request with its Idempotency-Key or with the ticket from the last refusal", now);
     } else {
         attempt(callId, now);
     }
@@ -232,19 +232,19 @@
             // The store may hold a claim of an earlier attempt, which is unknown here.
             auto cause = verdict::mayHaveRun(verdict_reason::TicketNeeded);
             cause.retryAfter = unavailableRetryAfter(m_hooks.random());
-            finish(callId, answerWithout(callId, 0, cause), "the store that holds the claim of this Idempotency-Key does not answer; retry the request later", now);
+            finish(callId, makeCallAnswer(callId, 0, cause), "the store that holds the claim of this Idempotency-Key does not answer; retry the request later", now);
             return;
         }
         // The caller gets the unused ticket, and can retry with it without the store.
-        call.progress.setPermit(ownTicket, permit_origin::Brought);
-        finish(callId, answerWithout(callId, 0, verdict::notRun(verdict_reason::TicketNeeded)), "retry the request with the enclosed ticket", now);
+        call.progress.setPermit(ownTicket, permit_origin::Received);
+        finish(callId, makeCallAnswer(callId, 0, verdict::notRun(verdict_reason::TicketNeeded)), "retry the request with the enclosed ticket", now);
         return;
     }
-    call.progress.claimKnown();
+    call.progress.setClaimKnown();
     if (const auto* existing = std::get_if<claim_standing>(&result)) {
-        call.progress.setPermit(existing->permit, permit_origin::Brought);
+        call.progress.setPermit(existing->permit, permit_origin::Received);
     } else {
-        call.progress.setPermit(ownTicket, permit_origin::Brought);
+        call.progress.setPermit(ownTicket, permit_origin::Received);
     }
     attempt(callId, now);
 }
@@ -263,7 +263,7 @@
     auto target = chooseTarget(call, now);
     if (!target) {
         auto cause = call.progress.permit() ? verdict::mayHaveRun(verdict_reason::TicketUnknown) : verdict::notRun(verdict_reason::NoBackendServer);
-        finish(callId, answerWithout(callId, call.progress.attempts(), cause), "no backend server of service '" + call.request.service + "' can accept the request now", now);
+        finish(callId, makeCallAnswer(callId, call.progress.attempts(), cause), "no backend server of service '" + call.request.service + "' can accept the request now", now);
         return;
     }
     if (call.progress.needsPermit()) {
@@ -395,7 +395,7 @@
     }
     auto& call = node.mapped();
     abandonAttempt(call, now);
-    observe(call, call_decision::Finished, now, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the caller left before it got an answer");
+    observe(call, call_decision::Finished, now, makeCallAnswer(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the caller left before it got an answer");
     if (call.parentRun != 0) {
         m_inbound.onwardFinished(call.parentRun, call.progress.tokens(), call.cut);
     }
@@ -411,7 +411,7 @@
     }
     for (auto callId : onward) {
         abandonAttempt(m_calls.at(callId), now);
-        finish(callId, answerWithout(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the run that made this call was abandoned", now);
+        finish(callId, makeCallAnswer(callId, 0, verdict::mayHaveRun(verdict_reason::CallerGone)), "the run that made this call was abandoned", now);
     }
 }
 
@@ -439,7 +439,7 @@
     for (auto callId : callIds) {
         auto& call = m_calls.at(callId);
         abandonAttempt(call, now);
-        finish(callId, answerWithout(callId, call.progress.attempts(), verdict::notRun(cause)), message, now);
+        finish(callId, makeCallAnswer(callId, call.progress.attempts(), verdict::notRun(cause)), message, now);
     }
 }
 
