--- a/Source/node/poison_document.cpp
+++ b/Source/node/poison_document.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-    // Short names: a document has a record for each request that shared its end with a server.
+    // The names are short because the document has a record for each request that was running when
+    // a server terminated.
     constexpr const char* contentField = "c";
     constexpr const char* endsField = "e";
     constexpr const char* servedField = "s";
@@ -31,7 +32,7 @@
 
     std::optional<poison_record> parseRecord(const Json::Value& value)
     {
-        // Beyond it a time of day cannot be told in the clock's own units.
+        // Later times overflow the clock's representation.
         constexpr std::int64_t latestSecond = 1LL << 33;
         if (!value.isObject() || !value[contentField].isString() || !value[endsField].isArray() || !value[lastEndField].isInt64() || !value[versionField].isInt64()) {
             return std::nullopt;
@@ -75,8 +76,8 @@
     }
     poison_document document;
     document.version = value["version"].asInt64();
-    for (const auto& each : value["records"]) {
-        if (auto record = parseRecord(each)) {
+    for (const auto& item : value["records"]) {
+        if (auto record = parseRecord(item)) {
             document.records.push_back(std::move(*record));
         }
     }
--- a/Source/node/poison_document.h
+++ b/Source/node/poison_document.h
@@ -11,16 +11,17 @@
 
 namespace vanillashunt {
 
-// The document of all nodes on requests that end servers, or what changed in it.
+// The document, shared by all nodes, on requests that terminate backend servers; or the records
+// that changed in it.
 struct poison_document {
-    // Rises by one with each write.
+    // Increases by one with each write.
     std::int64_t version = 0;
     std::vector<poison_record> records;
 };
 
 Json::Value toJson(const poison_document&);
 
-// Reads all that is well formed; nothing for what no node has written.
+// Skips malformed records; returns std::nullopt if the document itself is malformed.
 std::optional<poison_document> parsePoisonDocument(const Json::Value&);
 std::optional<poison_document> parsePoisonDocument(const std::string&);
 
--- a/Source/node/poison_share.cpp
+++ b/Source/node/poison_share.cpp
@@ -13,44 +13,48 @@
     using std::chrono::milliseconds;
 
     constexpr const char* documentKey = "/vanillashunt/poison";
-    // A slow store needs a fifth of a second; behind a silent one peers wait for the news.
+    // A slow store answers within 0.2 s. Peers are notified only after a store that does not answer
+    // has run into this timeout.
     constexpr milliseconds callTimeout { 500 };
 
-    // Until a write that met another node's, or none, is tried again. Several servers may
-    // end at once; and whoever returns after an outage has `stable_window_s`, 3 s, to tell.
-    constexpr milliseconds conflictPause { 20 };
-
-    // For how long the collector waits for what others have seen of the same trouble: their
-    // servers' ends are told within 30 ms and a turn of their loops.
-    constexpr milliseconds gatherTime { 100 };
-    // Until a witness writes what the collector has not: that takes its gathering, some
-    // conflicts, and the news.
-    constexpr milliseconds collectorTime { 700 };
-    constexpr milliseconds collectorTimeout { 300 };
-
-    constexpr milliseconds firstFailurePause { 100 };
-    constexpr std::uint32_t mostDoublings = 4;
-
-    // Nodes that are told in each round by one that does not reach the store, and the rounds in
-    // which whoever was told tells on: each tells 12, which is more than the logarithm of 6,700
-    // nodes, so that hardly anybody is left out.
-    constexpr std::size_t peersTold = 3;
-    constexpr std::uint32_t tellingRounds = 4;
+    // Delay before a rejected write is retried; it conflicted with another node's write or with a
+    // missing document. Retries are fast since several servers may terminate at once, and since a
+    // node has only `stable_window_s`, 3 s, to share its records after an outage.
+    constexpr milliseconds conflictRetryDelay { 20 };
+
+    // How long the zone writer waits for records from other nodes about the same failure. They
+    // arrive within 30 ms plus one iteration of the senders' event loops.
+    constexpr milliseconds batchDelay { 100 };
+    // How long an observer waits before it writes the records that the zone writer has not written.
+    // Covers the writer's batching, some write conflicts and the announcement of the new version.
+    constexpr milliseconds zoneWriterDelay { 700 };
+    constexpr milliseconds zoneWriterTimeout { 300 };
+
+    constexpr milliseconds initialRetryDelay { 100 };
+    constexpr std::uint32_t maxDoublings = 4;
+
+    // Number of peers that a node sends its records to in each round while it cannot reach the
+    // store, and number of rounds in which a receiver forwards them. Each receiver thus sends 12
+    // times, more than the logarithm of 6,700 nodes, so that almost every node is reached.
+    constexpr std::size_t peersPerRound = 3;
+    constexpr std::uint32_t forwardRounds = 4;
     constexpr milliseconds peerTimeout { 1000 };
 
-    watched_document_terms poisonTerms()
+    watched_document_options watchOptions()
     {
-        watched_document_terms terms;
-        terms.key = documentKey;
-        terms.peerMethod = poisonSinceMethod;
-        terms.everyNodeReads = false;
-        // Nodes are ready within two seconds of their start, and bound a second later.
-        terms.firstCall = milliseconds(1200);
-        // A third of the calls that the routes cost: gossip tells of nearly every change, and
-        // what a zone that is cut off misses by a silent wait is read again with the routes.
-        terms.shortestWait = milliseconds(8000);
-        terms.waitSpread = milliseconds(4000);
-        return terms;
+        watched_document_options options;
+        options.key = documentKey;
+        options.peerMethod = poisonSinceMethod;
+        options.readOnEveryNode = false;
+        // Nodes are ready within two seconds of their start and have to recognise poison requests
+        // one second later.
+        options.firstCallDelay = milliseconds(1200);
+        // Costs a third of the store calls of the routes. Gossip announces nearly every change, and
+        // a change that a disconnected zone missed during an unanswered wait is read when the route
+        // watch reaches the store again.
+        options.minWait = milliseconds(8000);
+        options.waitJitter = milliseconds(4000);
+        return options;
     }
 
 }
@@ -62,7 +66,7 @@
     , m_hooks(std::move(hooks))
     , m_members(std::make_shared<std::vector<member>>())
     , m_saveTimer(context)
-    , m_watched(context, store, peers, selfId, std::move(availabilityZone), poisonTerms(), watchedHooks())
+    , m_watched(context, store, peers, selfId, std::move(availabilityZone), watchOptions(), watchedHooks())
 {
 }
 
@@ -70,16 +74,16 @@
 {
     watched_document_hooks hooks;
     hooks.version = [this] { return m_ledger.version(); };
-    hooks.stored = [this](const store_entry& entry) { takeStored(entry); };
-    hooks.told = [this](const Json::Value& news) {
-        if (auto document = parsePoisonDocument(news)) {
-            take(*document);
+    hooks.readFromStore = [this](const store_entry& entry) { mergeStored(entry); };
+    hooks.fetchedFromPeer = [this](const Json::Value& changes) {
+        if (auto document = parsePoisonDocument(changes)) {
+            merge(*document);
         }
     };
-    hooks.chance = m_hooks.chance;
-    // The routes' own calls tell of the store, and log it once.
-    hooks.lost = [](const std::string&) {};
-    hooks.back = [](milliseconds) {};
+    hooks.randomBelow = m_hooks.randomBelow;
+    // The route watch already logs the failure and the recovery of the store.
+    hooks.storeFailed = [](const std::string&) {};
+    hooks.storeRecovered = [](milliseconds) {};
     return hooks;
 }
 
@@ -92,19 +96,19 @@
 void poison_share::serverEnded(const server_end& end)
 {
     m_ledger.serverEnded(hashOf(end.start), end.running, m_hooks.wallNow());
-    m_isWitness = true;
+    m_hasUnsavedObservations = true;
     save();
 }
 
 void poison_share::served(request_fingerprint content)
 {
     if (m_ledger.served(content)) {
-        m_isWitness = true;
+        m_hasUnsavedObservations = true;
         save();
     }
 }
 
-void poison_share::storeBack()
+void poison_share::storeRecovered()
 {
     m_watched.readAgain();
     save();
@@ -118,7 +122,7 @@
     save();
 }
 
-void poison_share::take(const poison_document& document)
+void poison_share::merge(const poison_document& document)
 {
     auto before = m_ledger.version();
     m_ledger.merge(document.records, m_hooks.wallNow());
@@ -130,7 +134,7 @@
     save();
 }
 
-void poison_share::takeStored(const store_entry& entry)
+void poison_share::mergeStored(const store_entry& entry)
 {
     m_revision = std::max(m_revision.value_or(0), entry.modRevision);
     if (auto document = parsePoisonDocument(entry.value)) {
@@ -138,7 +142,7 @@
         if (isOlder && entry.modRevision == m_revision) {
             m_ledger.storedAs(document->records);
         }
-        take(*document);
+        merge(*document);
     } else {
         logEvent(events::poisonUnreadable, { { "bytes", std::to_string(entry.value.size()) } });
     }
@@ -150,46 +154,47 @@
         return;
     }
     if (!m_ledger.hasUnshared(m_hooks.wallNow())) {
-        m_isWitness = false;
+        m_hasUnsavedObservations = false;
         m_failuresInARow = 0;
         return;
     }
-    if (isCollector()) {
+    if (isZoneWriter()) {
         m_saving = true;
-        later(gatherTime, [this] { readAndWrite(); });
-    } else if (m_isWitness) {
+        runAfter(batchDelay, [this] { readAndWrite(); });
+    } else if (m_hasUnsavedObservations) {
         m_saving = true;
-        tellCollector();
-    } else if (m_roundsLeft > 0) {
+        sendToZoneWriter();
+    } else if (m_forwardRoundsLeft > 0) {
         m_saving = true;
-        --m_roundsLeft;
-        tellPeers();
-        saveAfter(firstFailurePause);
+        --m_forwardRoundsLeft;
+        sendToPeers();
+        saveAfter(initialRetryDelay);
     }
 }
 
-// Servers end together, by a rack or a request: each witness for itself would write against
-// all others. Where 24 of 195 nodes lost their servers at once, all nodes made 2,666 calls to the
-// store in half a minute so, and 1,406 with one writer for each zone.
-void poison_share::tellCollector()
+// Several servers often terminate together, because of a rack failure or a poison request. If each
+// observer wrote its own records, the writes would conflict: after 24 of 195 nodes lost their
+// servers at once, all nodes made 2,666 store calls within half a minute, compared to 1,406 with one
+// writer for each zone.
+void poison_share::sendToZoneWriter()
 {
-    auto first = m_watched.firstWatcher();
-    auto found = std::find_if(m_members->begin(), m_members->end(), [first](const member& each) { return each.id == first; });
+    auto writer = m_watched.firstWatcher();
+    auto found = std::find_if(m_members->begin(), m_members->end(), [writer](const member& candidate) { return candidate.id == writer; });
     if (found == m_members->end() || found->operatorAddress.empty()) {
         readAndWrite();
         return;
     }
-    m_peers.call(found->operatorAddress, poisonToldMethod, owed(), collectorTimeout, [this](const operator_result& result) {
+    m_peers.call(found->operatorAddress, poisonToldMethod, unsharedDocument(), zoneWriterTimeout, [this](const operator_result& result) {
         if (std::holds_alternative<Json::Value>(result)) {
-            later(collectorTime, [this] { readAndWrite(); });
+            runAfter(zoneWriterDelay, [this] { readAndWrite(); });
         } else {
             readAndWrite();
         }
     });
 }
 
-// A write succeeds only upon what it has read. It goes on until the document has all that
-// is known here, whoever brought it there.
+// A write succeeds only if the document has not changed since it was read. Retries until the
+// document contains all records of this node, no matter which node wrote them.
 void poison_share::readAndWrite()
 {
     if (m_revision || !m_ledger.hasUnshared(m_hooks.wallNow())) {
@@ -204,7 +209,7 @@
         }
         m_revision = 0;
         if (!range->entries.empty()) {
-            takeStored(range->entries.front());
+            mergeStored(range->entries.front());
         }
         write();
     });
@@ -228,91 +233,92 @@
             saveFailed();
         } else if (!swap->succeeded) {
             ++m_writesFailed;
-            conflicted(*swap);
+            writeConflicted(*swap);
         } else {
             m_revision = std::max(m_revision.value_or(0), swap->revision);
             m_saving = false;
-            take(document);
+            merge(document);
         }
     });
 }
 
-// Another node has written: what it wrote came with the refusal, and need not be read.
-void poison_share::conflicted(const store_swap& swap)
+// Another node has written the document. The rejection contains the current entry, if there is one,
+// so it need not be read again.
+void poison_share::writeConflicted(const store_swap& swap)
 {
     m_revision.reset();
     if (!swap.standing.empty()) {
-        takeStored(swap.standing.front());
+        mergeStored(swap.standing.front());
     }
-    saveAfter(conflictPause);
+    saveAfter(conflictRetryDelay);
 }
 
 void poison_share::saveFailed()
 {
-    tellPeers();
-    auto pause = firstFailurePause * (1 << std::min(m_failuresInARow, mostDoublings));
+    sendToPeers();
+    auto delay = initialRetryDelay * (1 << std::min(m_failuresInARow, maxDoublings));
     ++m_failuresInARow;
-    saveAfter(pause);
+    saveAfter(delay);
 }
 
-// The store may be away, or turn this node alone away; or this node is cut off from it and
-// not from the others. Whoever is told tells on, so that all hear of it without the store, too.
-void poison_share::tellPeers()
+// The store may be unavailable, may reject only this node, or may be unreachable only from this
+// node. The receivers forward the records, so that they reach all nodes without the store.
+void poison_share::sendToPeers()
 {
-    std::vector<const member*> others;
-    for (const auto& each : *m_members) {
-        if (each.id != m_selfId && each.reachable && !each.operatorAddress.empty()) {
-            others.push_back(&each);
+    std::vector<const member*> peers;
+    for (const auto& peer : *m_members) {
+        if (peer.id != m_selfId && peer.reachable && !peer.operatorAddress.empty()) {
+            peers.push_back(&peer);
         }
     }
-    auto document = owed();
-    for (std::size_t i = 0; i < peersTold && i < others.size(); ++i) {
-        std::swap(others[i], others[i + m_hooks.chance(others.size() - i)]);
-        ++m_peersTold;
-        m_peers.call(others[i]->operatorAddress, poisonToldMethod, document, peerTimeout, [](const operator_result&) {});
+    auto document = unsharedDocument();
+    for (std::size_t i = 0; i < peersPerRound && i < peers.size(); ++i) {
+        std::swap(peers[i], peers[i + m_hooks.randomBelow(peers.size() - i)]);
+        ++m_peersNotified;
+        m_peers.call(peers[i]->operatorAddress, poisonToldMethod, document, peerTimeout, [](const operator_result&) {});
     }
 }
 
-Json::Value poison_share::owed() const
+Json::Value poison_share::unsharedDocument() const
 {
     return toJson(poison_document { m_ledger.version(), m_ledger.unshared(m_hooks.wallNow()) });
 }
 
-void poison_share::told(const Json::Value& document)
+void poison_share::mergeFromPeer(const Json::Value& document)
 {
-    auto told = parsePoisonDocument(document);
-    if (!told) {
+    auto received = parsePoisonDocument(document);
+    if (!received) {
         return;
     }
-    for (auto& record : told->records) {
+    for (auto& record : received->records) {
         record.version = 0;
     }
-    if (m_ledger.merge(told->records, m_hooks.wallNow())) {
-        m_roundsLeft = tellingRounds;
+    if (m_ledger.merge(received->records, m_hooks.wallNow())) {
+        m_forwardRoundsLeft = forwardRounds;
     }
     save();
 }
 
-void poison_share::saveAfter(milliseconds pause)
+void poison_share::saveAfter(milliseconds delay)
 {
-    auto spread = m_hooks.chance(static_cast<std::uint64_t>(pause.count()));
-    later(pause + milliseconds(spread), [this] {
+    auto jitter = m_hooks.randomBelow(static_cast<std::uint64_t>(delay.count()));
+    runAfter(delay + milliseconds(jitter), [this] {
         m_saving = false;
         save();
     });
 }
 
-void poison_share::later(milliseconds pause, std::function<void()> step)
+void poison_share::runAfter(milliseconds delay, std::function<void()> action)
 {
-    m_saveTimer.expires_after(pause);
-    m_saveTimer.async_wait([step = std::move(step)](boost::system::error_code error) {
+    m_saveTimer.expires_after(delay);
+    m_saveTimer.async_wait([action = std::move(action)](boost::system::error_code error) {
         if (!error) {
-            step();
+            action();
         }
     });
 }
 
-Json::Value poison_share::newsSince(std::int64_t version) const
+Json::Value poison_share::changesSince(std::int64_t version) const
 {
     return toJson(poison_document { m_ledger.version(), m_ledger.since(version, m_hooks.wallNow()) });
 }
@@ -324,7 +330,7 @@
     state["poison"] = Json::UInt64(poisonCount());
     state["writes"] = Json::UInt64(m_writes);
     state["writes_failed"] = Json::UInt64(m_writesFailed);
-    state["peers_told"] = Json::UInt64(m_peersTold);
+    state["peers_told"] = Json::UInt64(m_peersNotified);
     return state;
 }
 
--- a/Source/node/poison_share.h
+++ b/Source/node/poison_share.h
@@ -13,39 +13,44 @@
 namespace vanillashunt {
 
 struct poison_share_hooks {
-    // What is known has a newer version, of which the others are to hear at once.
+    // Called when the version of the ledger has increased, to announce it to the other nodes.
     std::function<void()> changed;
     // Returns a random number below its argument.
-    std::function<std::uint64_t(std::uint64_t bound)> chance;
-    // The time of day.
+    std::function<std::uint64_t(std::uint64_t bound)> randomBelow;
+    // Returns the wall-clock time.
     std::function<std::chrono::system_clock::time_point()> wallNow;
 };
 
-// This node's poison ledger, and the document in the platform's store by which all nodes
-// share theirs: so a content is known again after every process was killed, and in zones
-// that only the store connects. Who saw an end tells the first of its zone's nodes that follow
-// the document, which gathers what several saw together, and writes it; where that one does not
-// do so, the witness does. A node that does not reach the store tells some others, which tell on.
+// This node's poison ledger, which all nodes replicate through a document in the platform's
+// store. The document preserves the records when every process is killed, and carries them
+// between zones that are connected only through the store.
+//
+// A node that observes the end of a server sends its records to the zone writer, the first
+// watcher of the document in its zone, which batches the records of several nodes and writes
+// them. If the zone writer does not, the observer writes them itself. A node that cannot reach
+// the store sends its records to some peers, which forward them.
 class poison_share {
 public:
-    // The store and the client outlive it.
+    // The store and the RPC client have to outlive this object.
     poison_share(boost::asio::io_context&, key_value_store&, peer_rpc&, std::uint64_t selfId, std::string availabilityZone, poison_share_hooks);
 
     void start() { m_watched.start(); }
     void setMembers(const member_list&);
+    // Called when a member announces the version that it has.
     void peerVersion(const member& peer, std::int64_t version) { m_watched.peerVersion(peer, version); }
 
-    // The store may have been away: what was missed is read, what is owed is written.
-    void storeBack();
+    // Called when the store may have been unavailable: reads missed changes and writes unshared
+    // records.
+    void storeRecovered();
 
-    // The store has come back from an earlier copy: whoever writes for its zone writes again what
-    // is missing there.
+    // Called when the store was restored from an earlier copy: the zone writer writes the records
+    // again that the copy lacks.
     void storeReturned();
 
-    // The server beside this node ended under requests.
+    // Called when the local backend server terminated with requests in progress.
     void serverEnded(const server_end&);
 
-    // That server has served a request of the content.
+    // Called when the local backend server has served a request with this content.
     void served(request_fingerprint);
 
     content_standing standingOf(request_fingerprint content) const
@@ -53,35 +58,35 @@
         return m_ledger.has(content) ? m_ledger.standingOf(content, m_hooks.wallNow()) : content_standing::Harmless;
     }
 
-    // Contents that are poison.
+    // Number of contents that are poison.
     std::size_t poisonCount() const { return m_ledger.poisonCount(m_hooks.wallNow()); }
 
     std::int64_t version() const { return m_ledger.version(); }
 
-    // A node that does not reach the store tells what it owes, to be written from here.
-    // Nothing comes of what no node has written.
-    void told(const Json::Value& document);
+    // Merges the unshared records of a peer that cannot reach the store, so that this node writes
+    // them. Ignores a malformed document.
+    void mergeFromPeer(const Json::Value& document);
 
-    // What a peer that has the version lacks.
-    Json::Value newsSince(std::int64_t version) const;
+    // The records that a peer with that version lacks.
+    Json::Value changesSince(std::int64_t version) const;
 
     Json::Value dump() const;
 
 private:
     watched_document_hooks watchedHooks();
-    void take(const poison_document&);
-    void takeStored(const store_entry&);
+    void merge(const poison_document&);
+    void mergeStored(const store_entry&);
     void save();
-    bool isCollector() const { return m_watched.firstWatcher() == m_selfId; }
-    void tellCollector();
+    bool isZoneWriter() const { return m_watched.firstWatcher() == m_selfId; }
+    void sendToZoneWriter();
     void readAndWrite();
     void write();
-    void conflicted(const store_swap&);
+    void writeConflicted(const store_swap&);
     void saveFailed();
-    Json::Value owed() const;
-    void tellPeers();
+    Json::Value unsharedDocument() const;
+    void sendToPeers();
     void saveAfter(std::chrono::milliseconds);
-    void later(std::chrono::milliseconds, std::function<void()> step);
+    void runAfter(std::chrono::milliseconds, std::function<void()> action);
 
     key_value_store& m_store;
     peer_rpc& m_peers;
@@ -90,18 +95,18 @@
     member_list m_members;
     poison_ledger m_ledger;
     boost::asio::steady_timer m_saveTimer;
-    // Whether a write of this node is under way, or waits for its time.
+    // Whether a write of this node is in progress or scheduled.
     bool m_saving = false;
-    // Whether this node has itself seen what the document does not have yet.
-    bool m_isWitness = false;
-    // The revision that the next write is to follow; nothing while that is not known.
+    // Whether this node itself has observed something that the document lacks.
+    bool m_hasUnsavedObservations = false;
+    // The store revision that the next write expects; std::nullopt while it is unknown.
     std::optional<std::int64_t> m_revision;
-    // How often what was told is still to be told on.
-    std::uint32_t m_roundsLeft = 0;
+    // Number of rounds in which records received from peers are still to be forwarded.
+    std::uint32_t m_forwardRoundsLeft = 0;
     std::uint64_t m_writes = 0;
     std::uint64_t m_writesFailed = 0;
     std::uint32_t m_failuresInARow = 0;
-    std::uint64_t m_peersTold = 0;
+    std::uint64_t m_peersNotified = 0;
     watched_document m_watched;
 };
 
--- a/Source/node/quota_service.cpp
+++ b/Source/node/quota_service.cpp
@@ -5,18 +5,18 @@
 
 namespace vanillashunt {
 
-quota_service::quota_service(boost::asio::io_context& context, const std::string& listenAddress, const std::string& meshName, quota_settings settings, std::function<std::uint64_t(std::uint64_t bound)> chance, time_point started)
+quota_service::quota_service(boost::asio::io_context& context, const std::string& listenAddress, const std::string& meshName, quota_settings settings, std::function<std::uint64_t(std::uint64_t bound)> randomBelow, time_point started)
     : m_checksumSeed(meshChecksumSeed(meshName))
-    , m_exchange(std::move(settings), exchangeHooks(std::move(chance)), started)
-    , m_socket(context, listenAddress, [this](const char* bytes, std::size_t size, const boost::asio::ip::udp::endpoint& sender) { arrived(bytes, size, sender); })
+    , m_exchange(std::move(settings), exchangeHooks(std::move(randomBelow)), started)
+    , m_socket(context, listenAddress, [this](const char* bytes, std::size_t size, const boost::asio::ip::udp::endpoint& sender) { datagramReceived(bytes, size, sender); })
 {
 }
 
-quota_hooks quota_service::exchangeHooks(std::function<std::uint64_t(std::uint64_t bound)> chance)
+quota_hooks quota_service::exchangeHooks(std::function<std::uint64_t(std::uint64_t bound)> randomBelow)
 {
     quota_hooks hooks;
     hooks.send = [this](const member& target, const quota_message& message) { send(target.operatorAddress, message); };
-    hooks.chance = std::move(chance);
+    hooks.chance = std::move(randomBelow);
     return hooks;
 }
 
@@ -29,11 +29,11 @@
     }
 }
 
-void quota_service::arrived(const char* bytes, std::size_t size, const boost::asio::ip::udp::endpoint& sender)
+void quota_service::datagramReceived(const char* bytes, std::size_t size, const boost::asio::ip::udp::endpoint& sender)
 {
     auto message = decodeQuota(bytes, size, m_checksumSeed);
     if (!message) {
-        ++m_garbage;
+        ++m_invalidDatagrams;
         return;
     }
     if (auto answer = m_exchange.receive(*message, std::chrono::steady_clock::now())) {
@@ -73,7 +73,7 @@
     state["lent"] = Json::UInt64(counts.lent);
     state["borrowed"] = Json::UInt64(counts.borrowed);
     state["unsent"] = Json::UInt64(m_unsent);
-    state["garbage"] = Json::UInt64(m_garbage);
+    state["garbage"] = Json::UInt64(m_invalidDatagrams);
     return state;
 }
 
--- a/Source/node/route_watch.cpp
+++ b/Source/node/route_watch.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-    watched_document_terms routeTerms()
+    watched_document_options watchOptions()
     {
-        watched_document_terms terms;
-        terms.key = wire::configurationKey;
-        terms.peerMethod = contractsSinceMethod;
-        return terms;
+        watched_document_options options;
+        options.key = wire::configurationKey;
+        options.peerMethod = contractsSinceMethod;
+        return options;
     }
 
 }
 
 route_watch::route_watch(boost::asio::io_context& context, key_value_store& store, peer_rpc& peers, std::uint64_t selfId, std::string availabilityZone, route_watch_hooks hooks)
     : m_hooks(std::move(hooks))
-    , m_watched(context, store, peers, selfId, std::move(availabilityZone), routeTerms(), watchedHooks())
+    , m_watched(context, store, peers, selfId, std::move(availabilityZone), watchOptions(), watchedHooks())
 {
 }
 
@@ -29,22 +29,22 @@
 {
     watched_document_hooks hooks;
     hooks.version = [this] { return m_version; };
-    hooks.stored = [this](const store_entry& entry) { take(entry.value); };
-    hooks.told = [this](const Json::Value& news) {
-        if (news.isObject() && news["document"].isString()) {
-            take(news["document"].asString());
+    hooks.readFromStore = [this](const store_entry& entry) { apply(entry.value); };
+    hooks.fetchedFromPeer = [this](const Json::Value& changes) {
+        if (changes.isObject() && changes["document"].isString()) {
+            apply(changes["document"].asString());
         }
     };
-    hooks.chance = m_hooks.chance;
-    hooks.lost = [](const std::string& why) { logEvent(events::storeLost, { { "reason", why } }); };
-    hooks.back = [this](std::chrono::milliseconds away) {
-        logEvent(events::storeBack, { { "after_ms", std::to_string(away.count()) } });
-        m_hooks.storeBack();
+    hooks.randomBelow = m_hooks.randomBelow;
+    hooks.storeFailed = [](const std::string& reason) { logEvent(events::storeLost, { { "reason", reason } }); };
+    hooks.storeRecovered = [this](std::chrono::milliseconds outage) {
+        logEvent(events::storeBack, { { "after_ms", std::to_string(outage.count()) } });
+        m_hooks.storeRecovered();
     };
     return hooks;
 }
 
-void route_watch::take(const std::string& document)
+void route_watch::apply(const std::string& document)
 {
     auto parsed = parseRouteDocument(document);
     if (const auto* problem = std::get_if<route_document_problem>(&parsed)) {
@@ -61,14 +61,14 @@
     m_hooks.changed(configuration);
 }
 
-Json::Value route_watch::newsSince(std::int64_t version) const
+Json::Value route_watch::changesSince(std::int64_t version) const
 {
-    Json::Value news;
-    news["revision"] = Json::Int64(m_version);
+    Json::Value changes;
+    changes["revision"] = Json::Int64(m_version);
     if (m_version > version) {
-        news["document"] = m_document;
+        changes["document"] = m_document;
     }
-    return news;
+    return changes;
 }
 
 Json::Value route_watch::dump() const
--- a/Source/node/routed_process.cpp
+++ b/Source/node/routed_process.cpp
@@ -37,29 +37,28 @@
     constexpr unsigned statusOk = 200;
     constexpr unsigned statusUnavailable = 503;
 
-    // How often deadlines and queues are looked at, with and without calls in
-    // progress. Each wake-up costs processor time, and a deadline that is passed
-    // by a hundredth of a second harms nobody.
+    // How often deadlines and queues are checked, with and without calls in progress. Each wake-up
+    // costs processor time, and a delay of 10 ms past a deadline is harmless.
     constexpr std::chrono::milliseconds busyTickPeriod { 10 };
     constexpr std::chrono::milliseconds idleTickPeriod { 100 };
     constexpr std::chrono::milliseconds sessionCheckPeriod { 250 };
-    constexpr std::chrono::milliseconds loadLinePeriod { 1000 };
+    constexpr std::chrono::milliseconds loadLogPeriod { 1000 };
 
-    // Decisions that are remembered for the command explain: some megabytes.
+    // Number of decisions kept for the command explain; they take a few megabytes.
     constexpr std::size_t journalCapacity = 8192;
 
-    // Time before the exit to send the last answers and to tell the other nodes.
-    constexpr std::chrono::milliseconds farewellTime { 100 };
+    // Delay before the exit, to send the last answers and to announce the departure to other nodes.
+    constexpr std::chrono::milliseconds exitDelay { 100 };
 
     // The backend server is local and answers at once unless it is full; without an answer it is
     // used unverified.
     constexpr std::chrono::milliseconds healthProbeTimeout { 300 };
 
     // Limits the log lines for runs cut off at the end of a stop.
-    constexpr std::size_t mostRunsLogged = 40;
+    constexpr std::size_t maxRunsLogged = 40;
 
-    // A node that knows nobody may be the only one, and serves alone after this.
-    constexpr std::chrono::milliseconds longestJoin { 2000 };
+    // A node that has found no other members by then may be the only one, and serves alone.
+    constexpr std::chrono::milliseconds maxJoinTime { 2000 };
 
     class routed_process {
     public:
@@ -73,7 +72,7 @@
         bool isReady() const;
         void tick();
         void scheduleTick();
-        void workBegins();
+        void startBusyTicks();
         void logLoad(std::chrono::steady_clock::time_point now);
         void awaitSignals();
         void refuseWork();
@@ -94,7 +93,7 @@
         void collectMetrics(const std::function<void(std::string)>&);
         operator_reply explain(const std::string& requestId) const;
         void observe(const call_observation&);
-        void noteLoadUnreadable(const server_start&);
+        void recordUnreadableLoad(const server_start&);
 
         node_settings m_settings;
         std::chrono::steady_clock::time_point m_started = std::chrono::steady_clock::now();
@@ -106,16 +105,16 @@
         key_value_store m_store;
         http_client m_controlClient;
         peer_rpc m_peerRpc { m_controlClient };
-        server_reports m_server { reportHooks() };
+        server_reports m_serverReports { reportHooks() };
         std::unique_ptr<membership_service> m_membership;
         member m_self;
         routed_calls m_calls;
         route_watch m_routes;
         poison_share m_poison;
         std::unique_ptr<quota_service> m_quotas;
-        std::unique_ptr<pipeline_server> m_clients;
-        std::unique_ptr<http_server> m_reports;
-        std::unique_ptr<http_server> m_readiness;
+        std::unique_ptr<pipeline_server> m_clientServer;
+        std::unique_ptr<http_server> m_reportServer;
+        std::unique_ptr<http_server> m_readinessServer;
         std::unique_ptr<peer_server> m_peerServer;
         std::unique_ptr<operator_port> m_operatorPort;
         asio::steady_timer m_tickTimer { m_context };
@@ -125,14 +124,14 @@
         member_list m_members = std::make_shared<std::vector<member>>();
         bool m_busyTicks = false;
         std::chrono::steady_clock::time_point m_nextSessionCheck;
-        std::chrono::steady_clock::time_point m_nextLoadLine;
+        std::chrono::steady_clock::time_point m_nextLoadLog;
         settings_watch m_settingsWatch;
         node_metrics m_metrics { std::chrono::system_clock::now() };
         request_journal m_journal { journalCapacity };
         call_log m_callLog;
         std::uint64_t m_unreadableLoads = 0;
-        // The start of which that was logged last.
-        server_start m_unreadableStart;
+        // The start of the server whose unreadable load was logged last.
+        server_start m_lastUnreadableLoadStart;
     };
 
     http_client_settings clientSettings(const node_settings& settings)
@@ -170,17 +169,17 @@
         , m_settingsWatch(std::move(source))
     {
         setLogLevel(settings.logLevel);
-        // Every actor runs on the thread of the sockets; the library's own scheduler stays idle.
+        // All actors run on the thread of the I/O context; CAF's own scheduler stays idle.
         m_config.set("scheduler.policy", caf::atom("sharing"));
         m_config.set("scheduler.max-threads", 1);
         m_system = std::make_unique<caf::actor_system>(m_config);
         m_host = std::make_unique<actor_host>(*m_system, m_context);
         m_store.setHooks(storeHooks());
         m_membership = std::make_unique<membership_service>(*m_host, m_context, m_store, settings.mesh, settings.joinAddresses, membershipHooks());
-        m_clients = std::make_unique<pipeline_server>(m_context, settings.caller.listen, serverHooks());
-        m_reports = std::make_unique<http_server>(m_context, settings.backend.listen, http_server_limits {},
-            [this](const http_request& request, const std::shared_ptr<http_exchange>& exchange) { exchange->respond(m_server.take(request, std::chrono::steady_clock::now())); });
-        m_readiness = std::make_unique<http_server>(m_context, settings.routes->readyListen, http_server_limits {},
+        m_clientServer = std::make_unique<pipeline_server>(m_context, settings.caller.listen, serverHooks());
+        m_reportServer = std::make_unique<http_server>(m_context, settings.backend.listen, http_server_limits {},
+            [this](const http_request& request, const std::shared_ptr<http_exchange>& exchange) { exchange->respond(m_serverReports.handle(request, std::chrono::steady_clock::now())); });
+        m_readinessServer = std::make_unique<http_server>(m_context, settings.routes->readyListen, http_server_limits {},
             [this](const http_request&, const std::shared_ptr<http_exchange>& exchange) {
                 exchange->respond({ isReady() ? statusOk : statusUnavailable, {}, {} });
             });
@@ -200,21 +199,21 @@
     {
         routed_call_hooks hooks;
         hooks.random = [this] { return m_random(); };
-        hooks.callArrived = [this] { workBegins(); };
+        hooks.callArrived = [this] { startBusyTicks(); };
         hooks.attemptEnded = [this](std::uint64_t memberId, bool answered) { m_membership->callEnded(memberId, answered); };
-        hooks.misdirected = [this](const server_start& start) { m_server.misdirected(start); };
-        hooks.loadUnreadable = [this](const server_start& start) { noteLoadUnreadable(start); };
+        hooks.misdirected = [this](const server_start& start) { m_serverReports.misdirected(start); };
+        hooks.loadUnreadable = [this](const server_start& start) { recordUnreadableLoad(start); };
         hooks.serverEnded = [this](const server_end& end) {
             logServerEnd(end);
             m_poison.serverEnded(end);
-            m_server.ended(end.start);
+            m_serverReports.ended(end.start);
         };
         hooks.standingOf = [this](request_fingerprint content) { return m_poison.standingOf(content); };
         hooks.contentServed = [this](request_fingerprint content) { m_poison.served(content); };
         hooks.takeQuota = [this](const quota_request& request, quota_handler handler, std::chrono::steady_clock::time_point now) { return m_quotas->exchange().take(request, std::move(handler), now); };
         hooks.cancelQuota = [this](std::uint64_t quotaWait) { m_quotas->exchange().cancel(quotaWait); };
         hooks.giveBackQuota = [this](const std::string& organisation, std::chrono::steady_clock::time_point now) { m_quotas->exchange().giveBack(organisation, now); };
-        hooks.observed = [this](const call_observation& seen) { observe(seen); };
+        hooks.observed = [this](const call_observation& observation) { observe(observation); };
         return hooks;
     }
 
@@ -240,8 +239,8 @@
             m_calls.entry().setConfiguration(std::move(configuration));
             m_membership->spreadSoon();
         };
-        hooks.chance = [this](std::uint64_t bound) { return m_random() % bound; };
-        hooks.storeBack = [this] { m_poison.storeBack(); };
+        hooks.randomBelow = [this](std::uint64_t bound) { return m_random() % bound; };
+        hooks.storeRecovered = [this] { m_poison.storeRecovered(); };
         return hooks;
     }
 
@@ -249,7 +248,7 @@
     {
         poison_share_hooks hooks;
         hooks.changed = [this] { m_membership->spreadSoon(); };
-        hooks.chance = [this](std::uint64_t bound) { return m_random() % bound; };
+        hooks.randomBelow = [this](std::uint64_t bound) { return m_random() % bound; };
         hooks.wallNow = [] { return std::chrono::system_clock::now(); };
         return hooks;
     }
@@ -299,24 +298,25 @@
     {
         auto path = m_calls.entry().healthPath(report.service);
         if (path.empty()) {
-            m_server.healthProbed(report.start, server_health::Unknown);
+            m_serverReports.healthProbed(report.start, server_health::Unknown);
             return;
         }
         const auto& server = m_settings.routes->server;
         m_controlClient.send(server, { "GET", path, { { "Host", server } }, "" }, healthProbeTimeout, [this, start = report.start](const http_result& result) {
             const auto* response = std::get_if<http_response>(&result);
-            m_server.healthProbed(start, response ? readHealthAnswer(*response, start.instanceId) : server_health::Unknown);
+            m_serverReports.healthProbed(start, response ? readHealthAnswer(*response, start.instanceId) : server_health::Unknown);
         });
     }
 
-    // Tells the target what is beside it, and the other nodes what they may send here.
+    // Passes the state of the local backend server to the target, and this node's service and slots to
+    // the other nodes.
     void routed_process::serverChanged()
     {
-        bool takesWork = m_server.takesWork();
-        m_calls.target().setServer(m_server.current(), takesWork, std::chrono::steady_clock::now());
+        bool takesWork = m_serverReports.takesWork();
+        m_calls.target().setServer(m_serverReports.current(), takesWork, std::chrono::steady_clock::now());
         bool offered = takesWork && !m_stop.refusesWork(std::chrono::steady_clock::now());
-        auto service = offered ? m_server.current()->service : "";
-        auto slots = offered ? m_server.current()->slots : 0;
+        auto service = offered ? m_serverReports.current()->service : "";
+        auto slots = offered ? m_serverReports.current()->slots : 0;
         if (service == m_self.service && slots == m_self.slots) {
             return;
         }
@@ -327,11 +327,11 @@
 
     bool routed_process::isReady() const
     {
-        bool joined = m_members->size() > 1 || std::chrono::steady_clock::now() - m_started > longestJoin;
+        bool joined = m_members->size() > 1 || std::chrono::steady_clock::now() - m_started > maxJoinTime;
         return m_routes.version() > 0 && joined && !m_stop.draining();
     }
 
-    void routed_process::workBegins()
+    void routed_process::startBusyTicks()
     {
         if (!m_busyTicks) {
             m_busyTicks = true;
@@ -348,20 +348,21 @@
         m_settingsWatch.check(now);
         if (now >= m_nextSessionCheck) {
             m_nextSessionCheck = now + sessionCheckPeriod;
-            m_clients->endLate(now);
+            m_clientServer->endLate(now);
         }
         m_stop.step(now);
         m_busyTicks = m_calls.isBusy();
         scheduleTick();
     }
 
-    // What the decisions about the own server rest on, once a second while it works.
+    // Logs the figures behind the decisions on the local backend server, once a second while it has
+    // calls in progress.
     void routed_process::logLoad(std::chrono::steady_clock::time_point now)
     {
-        if (now < m_nextLoadLine || m_calls.target().inProgress() == 0) {
+        if (now < m_nextLoadLog || m_calls.target().inProgress() == 0) {
             return;
         }
-        m_nextLoadLine = now + loadLinePeriod;
+        m_nextLoadLog = now + loadLogPeriod;
         const auto& gate = m_calls.target().gate();
         logEvent(events::serverLoad, { { "service", m_self.service }, { "limit", std::to_string(gate.limit()) }, { "running", std::to_string(gate.inFlight()) }, { "waiting", std::to_string(gate.waiting()) }, { "cut", std::to_string(gate.cut()) }, { "drain_per_s", std::to_string(std::lround(gate.drainRate())) }, { "entered", std::to_string(m_calls.entry().inProgress()) }, { "members", std::to_string(m_members->size()) }, { "version", std::to_string(m_routes.version()) } });
     }
@@ -395,13 +396,13 @@
     {
         routed_stop_hooks hooks;
         hooks.progress = [this] {
-            return stop_progress { m_calls.entry().inProgress(), m_calls.target().inProgress(), m_clients->inProgress(), m_peerServer->inProgress() };
+            return stop_progress { m_calls.entry().inProgress(), m_calls.target().inProgress(), m_clientServer->inProgress(), m_peerServer->inProgress() };
         };
-        hooks.sendClientsAway = [this] { m_clients->closeAfterAnswers(); };
+        hooks.closeAfterAnswers = [this] { m_clientServer->closeAfterAnswers(); };
         hooks.refuseWork = [this] { refuseWork(); };
         hooks.refuseClients = [this] { m_calls.entry().setIntake(call_intake::OnwardCalls); };
         hooks.endRequests = [this](const stop_progress& progress) { endRequests(progress); };
-        hooks.stopAccepting = [this] { m_clients->stopAccepting(); };
+        hooks.stopAccepting = [this] { m_clientServer->stopAccepting(); };
         hooks.leave = [this] { leave(); };
         return hooks;
     }
@@ -420,7 +421,7 @@
     {
         auto now = std::chrono::steady_clock::now();
         logEvent(events::stopTimedOut, { { "entered", std::to_string(progress.entered) }, { "arrived", std::to_string(progress.arrived) }, { "clients", std::to_string(progress.clients) }, { "peers", std::to_string(progress.peers) } });
-        for (const auto& run : m_calls.target().runsInProgress(now, mostRunsLogged)) {
+        for (const auto& run : m_calls.target().runsInProgress(now, maxRunsLogged)) {
             logEvent(events::runCutByStop, { { "request_id", run.requestId }, { "class", run.requestClass }, { "instance", run.instanceId }, { "elapsed_us", std::to_string(run.elapsed.count()) } });
         }
         m_calls.entry().endAll(now);
@@ -430,7 +431,7 @@
     {
         m_self.state = member_state::Left;
         m_membership->setSelf(m_self);
-        m_exitTimer.expires_after(farewellTime);
+        m_exitTimer.expires_after(exitDelay);
         m_exitTimer.async_wait([this](error_code) { m_context.stop(); });
     }
 
@@ -439,12 +440,12 @@
         operator_hooks hooks;
         hooks.collectState = [this](state_receiver receiver) { collectState(std::move(receiver)); };
         hooks.collectMetrics = [this](const std::function<void(std::string)>& receiver) { collectMetrics(receiver); };
-        hooks.contractsSince = [this](std::int64_t version) { return m_routes.newsSince(version); };
+        hooks.contractsSince = [this](std::int64_t version) { return m_routes.changesSince(version); };
         hooks.poisonTold = [this](const Json::Value& document) {
-            m_poison.told(document);
+            m_poison.mergeFromPeer(document);
             return Json::Value(Json::objectValue);
         };
-        hooks.poisonSince = [this](std::int64_t version) { return m_poison.newsSince(version); };
+        hooks.poisonSince = [this](std::int64_t version) { return m_poison.changesSince(version); };
         hooks.explain = [this](const std::string& requestId) { return explain(requestId); };
         hooks.quota = [this](const std::string& organisation) -> operator_reply {
             auto standing = m_quotas->standingOf(organisation, std::chrono::steady_clock::now());
@@ -456,7 +457,7 @@
 
     routed_parts routed_process::parts() const
     {
-        return { m_calls, m_server, m_routes, m_poison, m_quotas->exchange(), *m_peerServer, m_store.returns(), m_members->size(), m_stop.draining(), m_unreadableLoads };
+        return { m_calls, m_serverReports, m_routes, m_poison, m_quotas->exchange(), *m_peerServer, m_store.returns(), m_members->size(), m_stop.draining(), m_unreadableLoads };
     }
 
     void routed_process::collectState(state_receiver receiver)
@@ -472,9 +473,9 @@
         state["poison"] = m_poison.dump();
         state["quotas"] = m_quotas->dump(std::chrono::steady_clock::now());
         m_membership->dump([state, receiver = std::move(receiver)](const Json::Value& membership) {
-            auto whole = state;
-            whole["membership"] = membership;
-            receiver(whole);
+            auto completeState = state;
+            completeState["membership"] = membership;
+            receiver(completeState);
         });
     }
 
@@ -493,24 +494,25 @@
         return json;
     }
 
-    void routed_process::observe(const call_observation& seen)
+    void routed_process::observe(const call_observation& observation)
     {
-        m_metrics.observe(seen);
-        m_journal.record(seen);
-        m_callLog.observe(seen);
+        m_metrics.observe(observation);
+        m_journal.record(observation);
+        m_callLog.observe(observation);
     }
 
-    void routed_process::noteLoadUnreadable(const server_start& start)
+    void routed_process::recordUnreadableLoad(const server_start& start)
     {
         ++m_unreadableLoads;
-        if (start == m_unreadableStart) {
+        if (start == m_lastUnreadableLoadStart) {
             return;
         }
-        m_unreadableStart = start;
+        m_lastUnreadableLoadStart = start;
         logEvent(events::serverLoadUnreadable, { { "instance", start.instanceId } });
     }
 
-    // What the loop left undone may be mail that keeps an actor, and so the process, for ever.
+    // Runs the handlers that are still queued: an undelivered message would keep its actor, and
+    // thereby the process, alive forever.
     void routed_process::endActors()
     {
         m_membership->stop();
@@ -521,7 +523,7 @@
     int routed_process::run()
     {
         awaitSignals();
-        logEvent(events::nodeStarted, { { "name", m_settings.name }, { "availability_zone", m_settings.availabilityZone }, { "incarnation", std::to_string(m_self.id) }, { "caller", m_clients->address() }, { "backend", m_reports->address() }, { "ready", m_readiness->address() }, { "peer", m_self.address }, { "operator", m_self.operatorAddress } });
+        logEvent(events::nodeStarted, { { "name", m_settings.name }, { "availability_zone", m_settings.availabilityZone }, { "incarnation", std::to_string(m_self.id) }, { "caller", m_clientServer->address() }, { "backend", m_reportServer->address() }, { "ready", m_readinessServer->address() }, { "peer", m_self.address }, { "operator", m_self.operatorAddress } });
         m_membership->start(m_self, m_peerServer->address());
         m_routes.start();
         m_poison.start();
@@ -537,7 +539,7 @@
 int runRoutedNode(const node_settings& settings, const settings_source& source)
 {
     logToStandardOutput();
-    // A peer that closed is told by the write's error.
+    // A connection that the peer closed is detected by the error of the write.
     std::signal(SIGPIPE, SIG_IGN);
     try {
         routed_process process(settings, source);
--- a/Source/node/routed_process.h
+++ b/Source/node/routed_process.h
@@ -8,14 +8,14 @@
 
 namespace vanillashunt {
 
-// The file that the settings came from.
+// The file that the settings were read from.
 struct settings_source {
     std::string fileName;
-    // Reads it again; nothing if it is wrong, and its problems are reported.
+    // Reads the file again. Reports the problems of an invalid file and returns std::nullopt.
     std::function<std::optional<node_settings>()> reread;
 };
 
-// Runs a node that serves an operator's routes until SIGTERM; returns the exit code.
+// Runs a node that serves an operator's routes until SIGTERM or SIGINT; returns the exit code.
 int runRoutedNode(const node_settings&, const settings_source&);
 
 }
--- a/Source/node/routed_stop.cpp
+++ b/Source/node/routed_stop.cpp
@@ -6,55 +6,57 @@
 
 namespace {
 
-    // After SIGTERM the platform asks twice, a second apart, before it takes the
-    // clients away.
-    constexpr std::chrono::milliseconds clientsLeaveTime { 2600 };
-    // So long a stopping node still gives its server new work: until the clients have
-    // left it waits anyway, and half of the runs end within the last 300 ms. The server
-    // beside it goes on, and others may be stopped at the same time.
-    constexpr std::chrono::milliseconds stopWorkTime { clientsLeaveTime - std::chrono::milliseconds(300) };
-    // Before the platform kills the process: the last answers and the farewell.
+    // After SIGTERM the platform probes the readiness twice, a second apart, before it moves the
+    // clients to other nodes.
+    constexpr std::chrono::milliseconds clientDrainTime { 2600 };
+    // How long a stopping node still accepts new work for its backend server. The node has to wait
+    // for the clients anyway, and half of the runs finish within the last 300 ms. The backend
+    // server stays up, and refusing its work earlier would reduce the capacity for longer while
+    // other nodes may be stopping, too.
+    constexpr std::chrono::milliseconds acceptWorkTime { clientDrainTime - std::chrono::milliseconds(300) };
+    // Time reserved before the platform kills the process, to send the last answers and to announce
+    // the departure.
     constexpr std::chrono::milliseconds killMargin { 600 };
 
-    constexpr std::chrono::milliseconds linePeriod { 1000 };
+    constexpr std::chrono::milliseconds logPeriod { 1000 };
 
 }
 
 routed_stop::routed_stop(std::chrono::milliseconds grace, routed_stop_hooks hooks)
     : m_hooks(std::move(hooks))
-    , m_steps(grace - killMargin, clientsLeaveTime, stopWorkTime)
+    , m_plannedStop(grace - killMargin, clientDrainTime, acceptWorkTime)
 {
 }
 
 void routed_stop::begin(time_point now)
 {
-    if (m_steps.exiting()) {
+    if (m_plannedStop.exiting()) {
         return;
     }
     logEvent(events::drainStarted);
-    m_steps.request(stop_reason::Signal, now);
-    m_hooks.sendClientsAway();
+    m_plannedStop.request(stop_reason::Signal, now);
+    m_hooks.closeAfterAnswers();
 }
 
 void routed_stop::step(time_point now)
 {
-    if (!m_steps.exiting() || m_hasLeft) {
+    if (!m_plannedStop.exiting() || m_hasLeft) {
         return;
     }
-    if (!m_hasRefusedWork && m_steps.refusesWork(now)) {
+    if (!m_hasRefusedWork && m_plannedStop.refusesWork(now)) {
         m_hasRefusedWork = true;
         m_hooks.refuseWork();
     }
-    if (!m_hasRefusedClients && m_steps.mayClosePorts(now)) {
+    if (!m_hasRefusedClients && m_plannedStop.mayClosePorts(now)) {
         m_hasRefusedClients = true;
         m_hooks.refuseClients();
     }
     auto progress = m_hooks.progress();
-    if (m_steps.mayClosePorts(now) && progress.arrived == 0) {
+    if (m_plannedStop.mayClosePorts(now) && progress.arrived == 0) {
         m_hooks.stopAccepting();
     }
     logProgress(progress, now);
-    if (m_steps.mayExit(progress.isIdle(), now)) {
+    if (m_plannedStop.mayExit(progress.isIdle(), now)) {
         m_hasLeft = true;
         if (!progress.isIdle()) {
             m_hooks.endRequests(progress);
@@ -63,13 +65,14 @@
     }
 }
 
-// Who is killed at the end of the grace time has told by then what it had left.
+// Logs periodically, so that the log of a process that is killed at the end of the grace time shows
+// what was still in progress.
 void routed_stop::logProgress(const stop_progress& progress, time_point now)
 {
-    if (now < m_nextLine) {
+    if (now < m_nextLog) {
         return;
     }
-    m_nextLine = now + linePeriod;
+    m_nextLog = now + logPeriod;
     logEvent(events::stopWaits, { { "entered", std::to_string(progress.entered) }, { "arrived", std::to_string(progress.arrived) }, { "clients", std::to_string(progress.clients) }, { "peers", std::to_string(progress.peers) } });
 }
 
--- a/Source/node/server_reports.cpp
+++ b/Source/node/server_reports.cpp
@@ -10,8 +10,8 @@
     constexpr unsigned statusOk = 200;
     constexpr unsigned statusBadRequest = 400;
 
-    // An operator looks for who writes such reports; a line every few seconds is enough.
-    constexpr std::uint32_t mostLines = 2;
+    // A line every few seconds is enough for an operator to find the sender of such reports.
+    constexpr std::uint32_t maxLinesPerInterval = 2;
     constexpr std::chrono::seconds lineInterval { 10 };
 
     std::string bornText(const server_start& start)
@@ -26,25 +26,25 @@
 
 server_reports::server_reports(server_report_hooks hooks)
     : m_hooks(std::move(hooks))
-    , m_limiter(mostLines, lineInterval)
+    , m_limiter(maxLinesPerInterval, lineInterval)
 {
 }
 
-http_response server_reports::take(const http_request& request, time_point now)
+http_response server_reports::handle(const http_request& request, time_point now)
 {
     auto parsed = parseServerReport(request);
     if (const auto* problem = std::get_if<server_report_problem>(&parsed)) {
         return refuse(problem->message, now);
     }
     const auto& report = std::get<server_report>(parsed);
-    if (!namesAService(report)) {
-        return refuse("no service is named " + report.service, now);
+    if (!hasAcceptedService(report)) {
+        return refuse("there is no service named " + report.service, now);
     }
     bool wasKnown = current().has_value();
     auto effect = m_tracker.report(report, m_hooks.wallNow());
     logReport(report, effect);
     if (effect == report_effect::Unclear) {
-        return refuse("the report does not say when its server started, and others of that server do", now);
+        return refuse("the report lacks the start time of its server, which other reports of that server have", now);
     }
     bool isFirst = effect == report_effect::Replaced && !wasKnown && m_hooks.probeHealth;
     bool isFirstOrUpdate = isFirst || effect == report_effect::Updated;
@@ -71,11 +71,12 @@
     }
 }
 
-// A deregistration names no service, and what is known already need not be known anew.
-bool server_reports::namesAService(const server_report& report) const
+// A deregistration names no service. The current server's service is accepted even if the routes no
+// longer contain it.
+bool server_reports::hasAcceptedService(const server_report& report) const
 {
-    bool isCurrents = current() && current()->service == report.service;
-    return report.condition == server_condition::Left || isCurrents || m_hooks.knowsService(report.service);
+    bool isCurrentService = current() && current()->service == report.service;
+    return report.condition == server_condition::Left || isCurrentService || m_hooks.knowsService(report.service);
 }
 
 void server_reports::misdirected(const server_start& start)
@@ -99,13 +100,13 @@
     m_hooks.changed();
 }
 
-http_response server_reports::refuse(const std::string& why, time_point now)
+http_response server_reports::refuse(const std::string& reason, time_point now)
 {
     ++m_refused;
-    if (auto leftOut = m_limiter.take(events::serverReportRefused, now)) {
-        logEvent(events::serverReportRefused, { { "reason", why }, { "left_out", std::to_string(*leftOut) } });
+    if (auto suppressed = m_limiter.take(events::serverReportRefused, now)) {
+        logEvent(events::serverReportRefused, { { "reason", reason }, { "left_out", std::to_string(*suppressed) } });
     }
-    return { statusBadRequest, { { "Content-Type", "text/plain" } }, why + "\n" };
+    return { statusBadRequest, { { "Content-Type", "text/plain" } }, reason + "\n" };
 }
 
 }
--- a/Source/node/server_reports.h
+++ b/Source/node/server_reports.h
@@ -14,9 +14,9 @@
 namespace vanillashunt {
 
 struct server_report_hooks {
-    // Whether a service of that name exists, as far as is known here.
+    // Returns whether this node knows a service of that name.
     std::function<bool(const std::string& service)> knowsService;
-    // What is known of the server may have changed.
+    // Called when the state of the backend server may have changed.
     std::function<void()> changed;
     // Wall-clock time of this machine, on which the backend server runs, too.
     std::function<std::chrono::system_clock::time_point()> wallNow;
@@ -27,40 +27,40 @@
     std::function<void(const server_report&)> probeHealth {};
 };
 
-// Takes what the server beside the node says of itself, and logs what that changes.
-// Whatever was not written by a server changes nothing: it is refused with the reason,
-// counted, and logged no more than now and then.
+// Handles the reports of the local backend server and logs the changes that they cause. A report
+// that no server wrote changes nothing: it is refused with the reason and counted, and a limited
+// number of refusals is logged.
 class server_reports {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
     explicit server_reports(server_report_hooks);
 
-    // Returns the answer to the report. One of success binds: from here on nothing new
-    // goes to a server that leaves.
-    http_response take(const http_request&, time_point now);
+    // Returns the answer to the report. A successful answer is a commitment: from then on a
+    // server that leaves gets no new work.
+    http_response handle(const http_request&, time_point now);
 
-    // The server at the address is another one than this.
+    // Called when the server at the address answers that it is not this start.
     void misdirected(const server_start&);
 
-    // That start of the server has ended.
+    // Called when this start of the server has terminated.
     void ended(const server_start&);
 
-    // The health probe of that start of the server has ended.
+    // Called with the result of the health probe of this start.
     void healthProbed(const server_start&, server_health);
 
-    // Nothing while no server is known.
+    // The latest report of the current server; std::nullopt while no server is known.
     const std::optional<server_report>& current() const { return m_tracker.current(); }
 
-    // Whether the server is known and verified, and has not said that it leaves.
+    // Whether the server is known and verified, and has not reported that it leaves.
     bool takesWork() const { return m_tracker.takesWork() && !m_verification.isPending(current()->start); }
 
-    // Reports that were not a server's, since the process started.
+    // Number of reports refused since the process started.
     std::uint64_t refused() const { return m_refused; }
 
 private:
-    http_response refuse(const std::string& why, time_point now);
-    bool namesAService(const server_report&) const;
+    http_response refuse(const std::string& reason, time_point now);
+    bool hasAcceptedService(const server_report&) const;
     void logReport(const server_report&, report_effect) const;
 
     server_report_hooks m_hooks;
--- a/Source/node/server_runs.cpp
+++ b/Source/node/server_runs.cpp
@@ -11,10 +11,11 @@
 
     constexpr unsigned statusMisdirected = 421;
 
-    // A server takes no time of zero.
-    constexpr std::chrono::milliseconds leastTime { 1 };
+    // The server does not accept a timeout of zero.
+    constexpr std::chrono::milliseconds minTimeout { 1 };
 
-    instance_client_settings withOwnership(instance_client_settings settings)
+    // Makes the client check that an answer belongs to the request.
+    instance_client_settings withAnswerCheck(instance_client_settings settings)
     {
         settings.belongs = [](const http_response& response, const std::string& requestId) {
             return answersRequest(readAnswerMarks(response.fields), requestId);
@@ -27,23 +28,23 @@
 server_runs::server_runs(boost::asio::io_context& context, std::string address, instance_client_settings settings, server_run_hooks hooks)
     : m_address(std::move(address))
     , m_hooks(std::move(hooks))
-    , m_client(context, withOwnership(std::move(settings)))
+    , m_client(context, withAnswerCheck(std::move(settings)))
 {
 }
 
 void server_runs::begin(std::uint64_t runId, const server_report& server, const call_request& request, std::chrono::steady_clock::time_point deadline)
 {
-    auto left = std::chrono::duration_cast<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
+    auto timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
     http_request message { request.method, request.path, request.fields, request.body };
-    writeServerTerms(message.fields, { std::max(left, leastTime), server.start.instanceId, request.callerService, request.context.organisation });
-    m_sent[runId] = m_client.send(m_address, request.context.requestId, message,
+    writeServerTerms(message.fields, { std::max(timeLeft, minTimeout), server.start.instanceId, request.callerService, request.context.organisation });
+    m_clientIds[runId] = m_client.send(m_address, request.context.requestId, message,
         [this, runId, start = server.start](instance_result result) { ended(runId, start, std::move(result)); });
 }
 
 void server_runs::cancel(std::uint64_t runId)
 {
-    if (auto sent = m_sent.extract(runId)) {
-        m_client.cancel(sent.mapped());
+    if (auto clientId = m_clientIds.extract(runId)) {
+        m_client.cancel(clientId.mapped());
     }
 }
 
@@ -58,7 +59,7 @@
 
 void server_runs::ended(std::uint64_t runId, const server_start& start, instance_result result)
 {
-    m_sent.erase(runId);
+    m_clientIds.erase(runId);
     answer_marks marks;
     if (const auto* response = std::get_if<http_response>(&result)) {
         marks = readAnswerMarks(response->fields);
--- a/Source/node/server_runs.h
+++ b/Source/node/server_runs.h
@@ -18,30 +18,29 @@
 namespace vanillashunt {
 
 struct server_run_hooks {
-    // What came of a run; called once for each that is not cancelled.
+    // Called with the outcome of a run, once for each run that is not cancelled.
     std::function<void(std::uint64_t runId, const call_answer&)> answered;
-    // The server at the address is another one than was meant.
+    // Called when the server at the address answers that it is not the expected start.
     std::function<void(const server_start&)> misdirected;
-    // That start of the server told its load; nothing where it cannot be read.
+    // Called with the load that a start of the server reports; std::nullopt if it is unreadable.
     std::function<void(const server_start&, const std::optional<server_load>&)> loadTold;
 };
 
-// The requests that are with the server beside this node, in the headers that the
-// platform's servers understand.
+// Runs requests on the local backend server, with the headers of the platform's server protocol.
 class server_runs {
 public:
     // The address is the server's "IP:port".
     server_runs(boost::asio::io_context&, std::string address, instance_client_settings, server_run_hooks);
 
-    // Sends the request to this start of the server, which is to stop at the deadline.
+    // Sends the request to this start of the server, which has to finish it by the deadline.
     void begin(std::uint64_t runId, const server_report&, const call_request&, std::chrono::steady_clock::time_point deadline);
 
     void cancel(std::uint64_t runId);
 
-    // Closes the connections that no run is on: the server that had them is gone.
+    // Closes the connections without a run, after the server that accepted them has terminated.
     void closeIdle() { m_client.closeIdle(); }
 
-    // Tells whether the server is there: by an open connection, or by opening one.
+    // Checks whether a server is present: by an open connection or by opening one.
     void askWhetherThere(const std::function<void(server_presence)>&);
 
     const instance_client_counts& counts() const { return m_client.counts(); }
@@ -52,8 +51,8 @@
     std::string m_address;
     server_run_hooks m_hooks;
     instance_client m_client;
-    // What the client calls each run.
-    std::unordered_map<std::uint64_t, std::uint64_t> m_sent;
+    // The client's id of each run, by run id.
+    std::unordered_map<std::uint64_t, std::uint64_t> m_clientIds;
 };
 
 }
--- a/Source/node/watched_document.cpp
+++ b/Source/node/watched_document.cpp
@@ -10,20 +10,20 @@
 
     using std::chrono::milliseconds;
 
-    // Nodes of an availability zone that wait at the store. More cost calls, and
-    // fewer leave a zone without news while the store turns some nodes away.
+    // Nodes of an availability zone that wait for changes at the store. More watchers cost more
+    // calls; with fewer, a zone gets no changes while the store rejects some nodes.
     constexpr std::size_t watchersPerZone = 3;
 
     constexpr milliseconds stepPeriod { 200 };
     constexpr milliseconds readTimeout { 1000 };
     constexpr milliseconds peerTimeout { 1000 };
 
-    // Over which nodes read anew when the store has come back from a copy.
-    constexpr milliseconds returnSpread { 400 };
+    // Range of the random delay before a read after the store was restored from an earlier copy.
+    constexpr milliseconds returnJitter { 400 };
 
-    constexpr milliseconds firstBackoff { 100 };
-    constexpr milliseconds longestBackoff { 1600 };
-    constexpr std::uint32_t mostDoublings = 4;
+    constexpr milliseconds initialBackoff { 100 };
+    constexpr milliseconds maxBackoff { 1600 };
+    constexpr std::uint32_t maxDoublings = 4;
 
     std::chrono::steady_clock::time_point currentTime()
     {
@@ -32,13 +32,13 @@
 
 }
 
-watched_document::watched_document(boost::asio::io_context& context, key_value_store& store, peer_rpc& peers, std::uint64_t selfId, std::string availabilityZone, watched_document_terms terms, watched_document_hooks hooks)
+watched_document::watched_document(boost::asio::io_context& context, key_value_store& store, peer_rpc& peers, std::uint64_t selfId, std::string availabilityZone, watched_document_options options, watched_document_hooks hooks)
     : m_timer(context)
     , m_store(store)
     , m_peers(peers)
     , m_selfId(selfId)
     , m_zone(std::move(availabilityZone))
-    , m_terms(std::move(terms))
+    , m_options(std::move(options))
     , m_hooks(std::move(hooks))
     , m_members(std::make_shared<std::vector<member>>())
 {
@@ -46,7 +46,7 @@
 
 void watched_document::start()
 {
-    m_nextCall = currentTime() + m_terms.firstCall;
+    m_nextCall = currentTime() + m_options.firstCallDelay;
     step();
 }
 
@@ -55,12 +55,12 @@
     m_members = members;
 }
 
-std::vector<std::uint64_t> watched_document::candidates() const
+std::vector<std::uint64_t> watched_document::watcherCandidates() const
 {
     std::vector<std::uint64_t> result;
-    for (const auto& each : *m_members) {
-        if (each.availabilityZone == m_zone && each.state == member_state::Alive) {
-            result.push_back(each.id);
+    for (const auto& candidate : *m_members) {
+        if (candidate.availabilityZone == m_zone && candidate.state == member_state::Alive) {
+            result.push_back(candidate.id);
         }
     }
     return result;
@@ -69,15 +69,15 @@
 bool watched_document::isWatcher() const
 {
     bool isAlone = m_members->size() < 2;
-    return isAlone || rendezvousRank(m_selfId, candidates(), watchersPerZone).has_value();
+    return isAlone || rendezvousRank(m_selfId, watcherCandidates(), watchersPerZone).has_value();
 }
 
 std::uint64_t watched_document::firstWatcher() const
 {
-    return rendezvousFirst(candidates()).value_or(m_selfId);
+    return rendezvousFirst(watcherCandidates()).value_or(m_selfId);
 }
 
-// Goes on with the store where nothing is under way there.
+// Starts the next call to the store unless one is in progress.
 void watched_document::step()
 {
     m_timer.expires_after(stepPeriod);
@@ -89,9 +89,9 @@
     if (m_calling || currentTime() < m_nextCall) {
         return;
     }
-    // Where every node reads, it never begins with less than the store knows.
-    bool isFirst = m_terms.everyNodeReads && !m_readOnce;
-    if (isFirst || (isWatcher() && m_storeRevision == 0)) {
+    // If every node reads, a node does not start with an older version than the store has.
+    bool isFirstRead = m_options.readOnEveryNode && !m_readOnce;
+    if (isFirstRead || (isWatcher() && m_storeRevision == 0)) {
         readStore();
     } else if (isWatcher()) {
         waitAtStore();
@@ -102,21 +102,21 @@
 {
     m_calling = true;
     ++m_counts.reads;
-    m_store.get(m_terms.key, readTimeout, [this, turn = m_turn](const store_result<store_range>& result) {
-        if (turn != m_turn) {
+    m_store.get(m_options.key, readTimeout, [this, generation = m_generation](const store_result<store_range>& result) {
+        if (generation != m_generation) {
             return;
         }
         m_calling = false;
         if (const auto* failure = std::get_if<store_failure>(&result)) {
-            failed(failure->message);
+            callFailed(failure->message);
             return;
         }
-        answered();
+        callSucceeded();
         m_readOnce = true;
         const auto& range = std::get<store_range>(result);
         m_storeRevision = range.revision;
         if (!range.entries.empty()) {
-            m_hooks.stored(range.entries.front());
+            m_hooks.readFromStore(range.entries.front());
         }
         if (isWatcher() && m_storeRevision != 0) {
             waitAtStore();
@@ -128,23 +128,23 @@
 {
     m_calling = true;
     ++m_counts.waits;
-    auto longest = m_terms.shortestWait + milliseconds(m_hooks.chance(static_cast<std::uint64_t>(m_terms.waitSpread.count())));
-    m_store.waitForChanges(m_terms.key, m_storeRevision, longest, [this, turn = m_turn](const store_result<store_changes>& result) {
-        if (turn != m_turn) {
+    auto maxWait = m_options.minWait + milliseconds(m_hooks.randomBelow(static_cast<std::uint64_t>(m_options.waitJitter.count())));
+    m_store.waitForChanges(m_options.key, m_storeRevision, maxWait, [this, generation = m_generation](const store_result<store_changes>& result) {
+        if (generation != m_generation) {
             return;
         }
         m_calling = false;
         if (const auto* failure = std::get_if<store_failure>(&result)) {
             m_storeRevision = 0;
-            failed(failure->message);
+            callFailed(failure->message);
             return;
         }
         const auto& changes = std::get<store_changes>(result);
-        answered();
+        callSucceeded();
         m_storeRevision = changes.historyIsGone ? 0 : changes.revision;
         for (const auto& entry : changes.written) {
-            if (entry.key == m_terms.key) {
-                m_hooks.stored(entry);
+            if (entry.key == m_options.key) {
+                m_hooks.readFromStore(entry);
             }
         }
         step();
@@ -157,42 +157,42 @@
         return;
     }
     ++m_counts.reads;
-    m_store.get(m_terms.key, readTimeout, [this](const store_result<store_range>& result) {
+    m_store.get(m_options.key, readTimeout, [this](const store_result<store_range>& result) {
         const auto* range = std::get_if<store_range>(&result);
         if (range && !range->entries.empty()) {
-            m_hooks.stored(range->entries.front());
+            m_hooks.readFromStore(range->entries.front());
         }
     });
 }
 
 void watched_document::storeReturned()
 {
-    ++m_turn;
+    ++m_generation;
     m_calling = false;
     m_storeRevision = 0;
-    auto spread = m_hooks.chance(static_cast<std::uint64_t>(returnSpread.count()));
-    m_nextCall = currentTime() + milliseconds(spread);
+    auto jitter = m_hooks.randomBelow(static_cast<std::uint64_t>(returnJitter.count()));
+    m_nextCall = currentTime() + milliseconds(jitter);
 }
 
-void watched_document::failed(const std::string& why)
+void watched_document::callFailed(const std::string& reason)
 {
     ++m_counts.failures;
     if (m_failuresInARow == 0) {
-        m_lost = currentTime();
-        m_hooks.lost(why);
+        m_failingSince = currentTime();
+        m_hooks.storeFailed(reason);
     }
-    auto backoff = std::min<milliseconds>(firstBackoff * (1 << std::min(m_failuresInARow, mostDoublings)), longestBackoff);
+    auto backoff = std::min<milliseconds>(initialBackoff * (1 << std::min(m_failuresInARow, maxDoublings)), maxBackoff);
     ++m_failuresInARow;
-    auto spread = m_hooks.chance(static_cast<std::uint64_t>(backoff.count()));
-    m_nextCall = currentTime() + backoff / 2 + milliseconds(spread);
+    auto jitter = m_hooks.randomBelow(static_cast<std::uint64_t>(backoff.count()));
+    m_nextCall = currentTime() + backoff / 2 + milliseconds(jitter);
 }
 
-void watched_document::answered()
+void watched_document::callSucceeded()
 {
     if (std::exchange(m_failuresInARow, 0) == 0) {
         return;
     }
-    m_hooks.back(std::chrono::duration_cast<milliseconds>(currentTime() - m_lost));
+    m_hooks.storeRecovered(std::chrono::duration_cast<milliseconds>(currentTime() - m_failingSince));
 }
 
 void watched_document::peerVersion(const member& peer, std::int64_t version)
@@ -208,10 +208,10 @@
     ++m_counts.peerFetches;
     Json::Value parameters;
     parameters["revision"] = Json::Int64(m_hooks.version());
-    m_peers.call(operatorAddress, m_terms.peerMethod, parameters, peerTimeout, [this](const operator_result& result) {
+    m_peers.call(operatorAddress, m_options.peerMethod, parameters, peerTimeout, [this](const operator_result& result) {
         m_fetching = false;
         if (const auto* value = std::get_if<Json::Value>(&result)) {
-            m_hooks.told(*value);
+            m_hooks.fetchedFromPeer(*value);
         }
     });
 }
--- a/Source/node/watched_document.h
+++ b/Source/node/watched_document.h
@@ -15,38 +15,40 @@
 
 namespace vanillashunt {
 
-// Which document it is, and how closely it is followed.
-struct watched_document_terms {
-    // Its key in the platform's store.
+// Selects a document and how it is watched.
+struct watched_document_options {
+    // The document's key in the platform's store.
     std::string key;
-    // The method of another node's operator port that tells what is newer than a version.
+    // Method of the operator port that returns the changes since a version.
     std::string peerMethod;
-    // Whether each node reads it once when it starts, or only those that wait for changes.
-    bool everyNodeReads = true;
-    // From the start of the process to the first call. Where not every node reads, members
-    // have to be known first, since a node that knows nobody follows the document itself.
-    std::chrono::milliseconds firstCall { 0 };
-    // A wait at the store lasts between this and this plus the spread. One on which the store
-    // has gone silent costs its whole length; a shorter one costs calls.
-    std::chrono::milliseconds shortestWait { 2500 };
-    std::chrono::milliseconds waitSpread { 1500 };
+    // Whether every node reads the document once at its start, or only the watchers do.
+    bool readOnEveryNode = true;
+    // Time from the start of the process to the first call. If only the watchers read, the
+    // members have to be known first, since a node without members acts as a watcher.
+    std::chrono::milliseconds firstCallDelay { 0 };
+    // A wait at the store lasts between minWait and minWait + waitJitter. If the store stops
+    // answering during a wait, this is noticed only when the wait ends; shorter waits cost more
+    // calls.
+    std::chrono::milliseconds minWait { 2500 };
+    std::chrono::milliseconds waitJitter { 1500 };
 };
 
 struct watched_document_hooks {
-    // The version that this node has; 0 while it has none.
+    // Returns this node's version of the document; 0 if it has none.
     std::function<std::int64_t()> version;
-    // What the store has under the key.
-    std::function<void(const store_entry&)> stored;
-    // What another node has told.
-    std::function<void(const Json::Value&)> told;
+    // Called with the entry that the store has under the key.
+    std::function<void(const store_entry&)> readFromStore;
+    // Called with the changes that another node returned.
+    std::function<void(const Json::Value&)> fetchedFromPeer;
     // Returns a random number below its argument.
-    std::function<std::uint64_t(std::uint64_t bound)> chance;
-    // The store does not answer any more, and answers again after a time.
-    std::function<void(const std::string& why)> lost;
-    std::function<void(std::chrono::milliseconds away)> back;
+    std::function<std::uint64_t(std::uint64_t bound)> randomBelow;
+    // Called when calls to the store begin to fail.
+    std::function<void(const std::string& reason)> storeFailed;
+    // Called when the store answers again.
+    std::function<void(std::chrono::milliseconds outage)> storeRecovered;
 };
 
-// Calls since the start, by kind.
+// Calls since the process started, by kind.
 struct watched_document_counts {
     std::uint64_t reads = 0;
     std::uint64_t waits = 0;
@@ -54,40 +56,43 @@
     std::uint64_t peerFetches = 0;
 };
 
-// Follows one versioned document of the platform's store, so that the store's calls do not
-// grow with the fleet: a few nodes of each availability zone wait for its changes there; the
-// others hear of a version by gossip and fetch it from whoever told them.
+// Watches one versioned document in the platform's store. To keep the number of store calls
+// independent of the number of nodes, only a few watchers in each availability zone wait for
+// changes at the store. The other nodes learn of a new version by gossip and fetch it from the
+// node that announced it.
 class watched_document {
 public:
-    // The store and the client outlive it.
-    watched_document(boost::asio::io_context&, key_value_store&, peer_rpc&, std::uint64_t selfId, std::string availabilityZone, watched_document_terms, watched_document_hooks);
+    // The store and the RPC client have to outlive this object.
+    watched_document(boost::asio::io_context&, key_value_store&, peer_rpc&, std::uint64_t selfId, std::string availabilityZone, watched_document_options, watched_document_hooks);
 
     void start();
     void setMembers(const member_list&);
 
-    // A member told the version that it has.
+    // Called when a member announces the version that it has.
     void peerVersion(const member&, std::int64_t version);
 
-    // Reads the store soon, whatever is under way there, if this node follows it.
+    // Reads the document from the store, in addition to any call in progress, if this node is a
+    // watcher.
     void readAgain();
 
-    // The store has come back from an earlier copy: no revision of it holds any more. A wait
-    // that is under way is ended, and the document read anew, not by all at the same moment.
+    // Called when the store was restored from an earlier copy, which invalidates all its
+    // revisions. Abandons the call in progress and reads the document again after a random delay,
+    // so that the watchers do not read at the same time.
     void storeReturned();
 
-    // The first of the nodes of this zone that wait for changes.
+    // The first watcher of this zone, by rendezvous hashing.
     std::uint64_t firstWatcher() const;
 
     Json::Value dump() const;
 
 private:
-    std::vector<std::uint64_t> candidates() const;
+    std::vector<std::uint64_t> watcherCandidates() const;
     bool isWatcher() const;
     void step();
     void readStore();
     void waitAtStore();
-    void failed(const std::string& why);
-    void answered();
+    void callFailed(const std::string& reason);
+    void callSucceeded();
     void fetchFrom(const std::string& operatorAddress);
 
     boost::asio::steady_timer m_timer;
@@ -95,18 +100,18 @@
     peer_rpc& m_peers;
     std::uint64_t m_selfId;
     std::string m_zone;
-    watched_document_terms m_terms;
+    watched_document_options m_options;
     watched_document_hooks m_hooks;
     member_list m_members;
-    // Where the next wait goes on; 0 if the store is to be read first.
+    // Store revision from which the next wait continues; 0 if the document has to be read first.
     std::int64_t m_storeRevision = 0;
     bool m_calling = false;
-    // Answers to calls of an earlier turn are dropped.
-    std::uint64_t m_turn = 0;
+    // Answers to calls of an earlier generation are dropped.
+    std::uint64_t m_generation = 0;
     bool m_fetching = false;
     bool m_readOnce = false;
     std::uint32_t m_failuresInARow = 0;
-    std::chrono::steady_clock::time_point m_lost;
+    std::chrono::steady_clock::time_point m_failingSince;
     std::chrono::steady_clock::time_point m_nextCall;
     watched_document_counts m_counts;
 };
--- a/Tests/PoisonLedger/poison_ledger_test.cpp
+++ b/Tests/PoisonLedger/poison_ledger_test.cpp
@@ -15,7 +15,7 @@
     const auto deadly = fingerprintOf("/deadly", "");
     const auto innocent = fingerprintOf("/innocent", "");
 
-    // Ends so many servers under the content.
+    // Records the end of `count` servers that were running the content.
     void endServers(poison_ledger& ledger, request_fingerprint content, std::uint64_t first, std::uint64_t count)
     {
         for (auto start = first; start < first + count; ++start) {
@@ -40,8 +40,9 @@
         return writeJson(toJson(poison_document { version, records }));
     }
 
-    // The ledgers of some nodes after random ends of servers, told to each other in a random order.
-    std::vector<poison_ledger> toldAtRandom()
+    // Returns the ledgers of several nodes after random ends of servers, partly merged with each other
+    // in a random order.
+    std::vector<poison_ledger> randomlyMergedLedgers()
     {
         constexpr std::size_t nodes = 3;
         std::vector<poison_ledger> ledgers(nodes);
@@ -63,7 +64,7 @@
 
 }
 
-TEST(PoisonLedger, TakesAContentForPoisonAtTheThirdServer)
+TEST(PoisonLedger, MarksAContentAsPoisonAtTheThirdServer)
 {
     poison_ledger ledger;
     EXPECT_EQ(ledger.standingOf(deadly, now), content_standing::Harmless);
@@ -72,7 +73,7 @@
     endServers(ledger, deadly, 1, poisonEnds - 1);
     EXPECT_EQ(ledger.standingOf(deadly, now), content_standing::NearlyPoison);
     EXPECT_FALSE(isPoison(ledger, deadly, now));
-    // The same start again is no further server.
+    // A start that is already recorded does not count again.
     ledger.serverEnded(1, { deadly }, now);
     EXPECT_FALSE(isPoison(ledger, deadly, now));
     ledger.serverEnded(poisonEnds, { deadly, innocent }, now);
@@ -93,14 +94,14 @@
     EXPECT_FALSE(isPoison(there, deadly, now));
 }
 
-TEST(PoisonLedger, ClearsWhatAServerHasServed)
+TEST(PoisonLedger, ClearsAContentThatAServerHasServed)
 {
     poison_ledger ledger;
     endServers(ledger, innocent, 1, poisonEnds);
     EXPECT_TRUE(ledger.served(innocent));
     EXPECT_FALSE(ledger.served(innocent));
     EXPECT_FALSE(isPoison(ledger, innocent, now));
-    // Also where it was not served, and by further ends.
+    // This holds on other nodes, too, and after further ends.
     poison_ledger other;
     endServers(other, innocent, 1, poisonEnds);
     other.merge(ledger.document(1, now), now);
@@ -110,7 +111,7 @@
     EXPECT_EQ(ledger.size(), 1U);
 }
 
-TEST(PoisonLedger, ForgetsAfterItsTime)
+TEST(PoisonLedger, ForgetsRecordsAfterTheirRetention)
 {
     poison_ledger ledger;
     endServers(ledger, deadly, 1, poisonEnds);
@@ -121,13 +122,13 @@
     EXPECT_TRUE(ledger.document(1, later).empty());
     ledger.merge({}, later);
     EXPECT_EQ(ledger.size(), 0U);
-    // A clock that has jumped back does not make it forget.
+    // A clock that is set back does not expire records.
     endServers(ledger, deadly, 1, poisonEnds);
     EXPECT_TRUE(isPoison(ledger, deadly, now - poisonMemory));
 }
 
-// Many more requests than a fleet's servers can have in progress when they end.
-TEST(PoisonLedger, KeepsWhatIsPoisonWhereItHasToForget)
+// Records far more requests than all servers can have in progress when they terminate.
+TEST(PoisonLedger, KeepsPoisonWhenItDropsRecords)
 {
     poison_ledger ledger;
     endServers(ledger, deadly, 1, poisonEnds);
@@ -140,7 +141,7 @@
     EXPECT_LT(textOf(ledger.document(1, now), 1).size(), 1024U * 1024U);
 }
 
-TEST(PoisonLedger, TellsWhatTheSharedDocumentLacks)
+TEST(PoisonLedger, ReportsRecordsThatTheSharedDocumentLacks)
 {
     poison_ledger ledger;
     EXPECT_FALSE(ledger.hasUnshared(now));
@@ -155,37 +156,37 @@
     EXPECT_TRUE(ledger.hasUnshared(now));
 }
 
-// A peer that is behind says less of a content, which is no reason to write anything.
-TEST(PoisonLedger, OwesNothingWhereOldNewsComesLate)
+// An older record from an outdated peer adds nothing, so it must not cause a write.
+TEST(PoisonLedger, HasNothingUnsharedAfterAnOutdatedRecord)
 {
     poison_ledger behind;
     endServers(behind, deadly, 1, 1);
-    auto old = behind.document(1, now);
+    auto oldDocument = behind.document(1, now);
     endServers(behind, deadly, 2, 1);
     auto ledger = ledgerOf(behind.document(2, now));
-    ledger.merge(old, now);
+    ledger.merge(oldDocument, now);
     EXPECT_FALSE(ledger.hasUnshared(now));
     EXPECT_EQ(ledger.since(1, now).size(), 1U);
 }
 
-TEST(PoisonLedger, AgreesInWhateverOrderItIsTold)
+TEST(PoisonLedger, ConvergesForAnyOrderOfMerges)
 {
     rc::check([] {
-        auto ledgers = toldAtRandom();
-        auto last = ledgers[2];
-        for (const auto& each : ledgers) {
-            last.merge(each.document(1, now), now);
+        auto ledgers = randomlyMergedLedgers();
+        auto merged = ledgers[2];
+        for (const auto& ledger : ledgers) {
+            merged.merge(ledger.document(1, now), now);
         }
-        for (auto& each : ledgers) {
-            each.merge(last.document(1, now), now);
-            RC_ASSERT(isPoison(each, deadly, now) == isPoison(last, deadly, now));
-            RC_ASSERT(isPoison(each, innocent, now) == isPoison(last, innocent, now));
-            RC_ASSERT(each.size() == last.size());
+        for (auto& ledger : ledgers) {
+            ledger.merge(merged.document(1, now), now);
+            RC_ASSERT(isPoison(ledger, deadly, now) == isPoison(merged, deadly, now));
+            RC_ASSERT(isPoison(ledger, innocent, now) == isPoison(merged, innocent, now));
+            RC_ASSERT(ledger.size() == merged.size());
         }
     });
 }
 
-TEST(PoisonLedger, IsReadAsItWasWritten)
+TEST(PoisonLedger, SurvivesSerialization)
 {
     poison_ledger ledger;
     endServers(ledger, deadly, 1ULL << 63U, poisonEnds);
@@ -200,7 +201,7 @@
     EXPECT_FALSE(isPoison(read, innocent, now));
 }
 
-TEST(PoisonLedger, TakesNothingFromWhatNoNodeHasWritten)
+TEST(PoisonLedger, RejectsMalformedDocumentsAndRecords)
 {
     for (const auto* text : { "", "7", "[]", "{}", R"({"version":"1","records":[]})", R"({"version":1,"records":{}})" }) {
         EXPECT_FALSE(parsePoisonDocument(std::string(text))) << text;
@@ -213,7 +214,7 @@
     EXPECT_EQ(document->records.front().content.value, 2U);
 }
 
-// Bytes of a real document, changed, cut or doubled at random, are read or refused.
+// A document with random changes to its bytes and its length is parsed or rejected without a crash.
 TEST(PoisonLedger, SurvivesDamagedDocuments)
 {
     poison_ledger ledger;
@@ -223,8 +224,8 @@
         auto damaged = text;
         auto changes = *rc::gen::inRange(1, 5);
         for (int i = 0; i < changes && !damaged.empty(); ++i) {
-            auto place = *rc::gen::inRange<std::size_t>(0, damaged.size());
-            damaged[place] = *rc::gen::arbitrary<char>();
+            auto position = *rc::gen::inRange<std::size_t>(0, damaged.size());
+            damaged[position] = *rc::gen::arbitrary<char>();
             damaged.resize(*rc::gen::inRange<std::size_t>(damaged.size() / 2, damaged.size() + 1));
         }
         auto document = parsePoisonDocument(damaged);
@@ -232,8 +233,9 @@
     });
 }
 
-// What the document has lost, or a writer that knew less has replaced, is owed to it again.
-TEST(PoisonLedger, OwesTheDocumentWhatItHasLost)
+// Records that the document has lost, or that a writer with fewer records has overwritten, count as
+// unshared again.
+TEST(PoisonLedger, WritesRecordsAgainThatTheDocumentHasLost)
 {
     poison_ledger ledger;
     endServers(ledger, deadly, 1, 3);
@@ -248,9 +250,9 @@
     endServers(older, deadly, 1, 2);
     endServers(older, innocent, 1, 1);
     ledger.storedAs(older.document(2, now));
-    auto owed = ledger.unshared(now);
-    ASSERT_EQ(owed.size(), 1U);
-    EXPECT_EQ(owed[0].content, deadly);
+    auto unshared = ledger.unshared(now);
+    ASSERT_EQ(unshared.size(), 1U);
+    EXPECT_EQ(unshared[0].content, deadly);
     ledger.storedAs({});
     EXPECT_EQ(ledger.unshared(now).size(), 2U);
     EXPECT_TRUE(isPoison(ledger, deadly, now));
--- a/Tests/RoutedNodes/routed_nodes_test.cpp
+++ b/Tests/RoutedNodes/routed_nodes_test.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-    constexpr auto longest = routed_node::longest;
+    constexpr auto maxWait = routed_node::longest;
 
     routed_node_plan planOf(const platform_world& world, const std::string& name, const std::string& service, const std::vector<std::string>& join = {})
     {
         return { name, service, world.storeAddress(), world.serverAddress(), join };
     }
 
-    // One node that serves the route of the world's configuration by the world's server.
-    struct served_node {
-        explicit served_node(int version = 1, const std::string& kind = "idempotent")
+    // A node that serves the route of the world's configuration with the world's backend server.
+    struct serving_node {
+        explicit serving_node(int version = 1, const std::string& kind = "idempotent")
         {
             world.configure(version, "desk", kind);
             node = std::make_unique<routed_node>(planOf(world, "desk-1", "desk"));
@@ -50,7 +50,7 @@
     EXPECT_EQ(entry.get("/y/1").substr(9, 3), "404");
 }
 
-TEST(RoutedNodes, SayThatNothingRanWhileTheyKnowNoRoutes)
+TEST(RoutedNodes, RefuseRequestsWhileTheyKnowNoRoutes)
 {
     platform_world world;
     world.setStoreDown(true);
@@ -65,11 +65,11 @@
     EXPECT_EQ(node.getUntil("200").substr(9, 3), "200");
 }
 
-TEST(RoutedNodes, SendNothingToAServerThatHasSaidThatItLeaves)
+TEST(RoutedNodes, SendNothingToAServerThatDrains)
 {
-    served_node served;
-    auto& world = served.world;
-    auto& node = *served.node;
+    serving_node fixture;
+    auto& world = fixture.world;
+    auto& node = *fixture.node;
     node.report("draining", 2, "desk");
     auto before = world.runs();
     EXPECT_EQ(node.get().substr(9, 3), "503");
@@ -134,9 +134,9 @@
 
 TEST(RoutedNodes, StopWithoutCuttingOffARequest)
 {
-    served_node served(1, "non_idempotent");
-    auto& world = served.world;
-    auto& node = *served.node;
+    serving_node fixture(1, "non_idempotent");
+    auto& world = fixture.world;
+    auto& node = *fixture.node;
     world.hold(true);
     auto before = world.runs();
     auto running = node.begin();
@@ -147,7 +147,7 @@
     EXPECT_EQ(node.ready(), "503");
     world.hold(false);
     EXPECT_NE(running.readToEnd().find("the server's bytes"), std::string::npos);
-    auto end = node.process->wait(longest);
+    auto end = node.process->wait(maxWait);
     ASSERT_TRUE(end);
     EXPECT_EQ(end->exitCode, 0);
 }
@@ -185,20 +185,20 @@
     auto runs = world.runs();
     EXPECT_EQ(entry.get().substr(0, 12), "HTTP/1.1 503");
     EXPECT_EQ(world.runs(), runs);
-    for (auto& each : running) {
-        EXPECT_EQ(each.readToEnd().substr(0, 12), "HTTP/1.1 502");
+    for (auto& connection : running) {
+        EXPECT_EQ(connection.readToEnd().substr(0, 12), "HTTP/1.1 502");
     }
     EXPECT_NE(entry.waitForLine("VS108").find("entered=\"6\""), std::string::npos);
-    auto end = entry.process->wait(longest);
+    auto end = entry.process->wait(maxWait);
     ASSERT_TRUE(end);
     EXPECT_EQ(end->exitCode, 0);
     world.hold(false);
 }
 
-TEST(RoutedNodes, ReadTheirSettingsAgainAndGoOnServing)
+TEST(RoutedNodes, ServeAfterTheyReadTheirSettingsAgain)
 {
-    served_node served;
-    auto& node = *served.node;
+    serving_node fixture;
+    auto& node = *fixture.node;
     node.process->signal(SIGHUP);
     EXPECT_NE(node.waitForLine("VS105").find("taken=\"yes\""), std::string::npos);
     EXPECT_EQ(node.get().substr(9, 3), "200");
@@ -206,11 +206,11 @@
 
 TEST(RoutedNodes, NeverGoBackToAnOlderVersion)
 {
-    served_node served(5);
-    auto& world = served.world;
-    auto& node = *served.node;
+    serving_node fixture(5);
+    auto& world = fixture.world;
+    auto& node = *fixture.node;
     world.configure(4, "nobody");
-    // The wait for changes brings the older version, again and again.
+    // The wait for changes returns the older version repeatedly.
     for (int i = 0; i < 5; ++i) {
         EXPECT_EQ(node.get().substr(9, 3), "200");
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -219,7 +219,7 @@
     EXPECT_EQ(node.getUntil("503").substr(9, 3), "503");
 }
 
-// The load: every process is killed at the same moment, and the servers go on.
+// All nodes are killed while the backend servers keep running.
 TEST(RoutedNodes, ServeAgainAfterAllOfThemWereKilled)
 {
     platform_world world;
@@ -234,7 +234,7 @@
     }
 }
 
-// The same while the store is away: the routes come from a node that lives.
+// The same while the store is unavailable: the routes come from a node that is still running.
 TEST(RoutedNodes, ServeAgainAfterAKillWhileTheStoreIsAway)
 {
     platform_world world;
@@ -250,19 +250,19 @@
     }
 }
 
-// The commands that operators know read these nodes, too.
-TEST(RoutedNodes, TellOperatorsWhatTheyKnowAndDecided)
+// The operator commands and the metrics work with routed nodes.
+TEST(RoutedNodes, AnswerTheCommandsOfOperators)
 {
-    served_node served(5);
-    auto& node = *served.node;
+    serving_node fixture(5);
+    auto& node = *fixture.node;
     child_process status({ VANILLASHUNT_PATH, "status", "--node", node.port("operator") });
-    status.readLine(longest);
-    auto row = status.readLine(longest);
+    status.readLine(maxWait);
+    auto row = status.readLine(maxWait);
     ASSERT_TRUE(std::holds_alternative<std::string>(row));
     EXPECT_NE(std::get<std::string>(row).find("desk-1"), std::string::npos);
     EXPECT_NE(std::get<std::string>(row).find(" 5 "), std::string::npos);
     child_process explain({ VANILLASHUNT_PATH, "explain", "r1", "--node", node.port("operator") });
-    auto end = explain.wait(longest);
+    auto end = explain.wait(maxWait);
     ASSERT_TRUE(end);
     EXPECT_EQ(end->exitCode, 0);
     auto metrics = raw_socket::connectTo(node.port("operator"));
@@ -270,13 +270,13 @@
     EXPECT_NE(metrics.readToEnd().find("vanillashunt_contract_revision 5"), std::string::npos);
 }
 
-// The load: a server crashes without a word and starts again by the id that it had; then
-// a report comes that its last start sent before, and says that it drains. Where the id
-// alone names a start, the server is out for good.
-TEST(RoutedNodes, ServeByAServerThatStartedAgainByItsId)
+// Guards against a server that stays out of use after a crash: it starts again with the same id, and
+// then a delayed report of its previous start arrives, which says that it drains. If starts were
+// identified by the id alone, the server would never receive requests again.
+TEST(RoutedNodes, SendRequestsToAServerThatStartedAgainWithTheSameId)
 {
-    served_node served;
-    auto& node = *served.node;
+    serving_node fixture;
+    auto& node = *fixture.node;
     node.reportOfStart(1000, "ready", 900, "desk", "i-1");
     EXPECT_EQ(node.get().substr(9, 3), "200");
     node.reportOfStart(2000, "ready", 1, "desk", "i-1");
@@ -284,20 +284,21 @@
     EXPECT_EQ(node.get().substr(9, 3), "200");
 }
 
-// Whoever waits for the last start's answer is told at once that the request may have run.
-TEST(RoutedNodes, AnswerAtOnceWhatTheLastStartOfAServerRan)
+// A request that the previous start of the server was running is answered at once as one that may
+// have run.
+TEST(RoutedNodes, AnswerRequestsOfThePreviousStartOfAServerAtOnce)
 {
-    served_node served(1, "non_idempotent");
-    auto& node = *served.node;
+    serving_node fixture(1, "non_idempotent");
+    auto& node = *fixture.node;
     node.reportOfStart(1000, "ready", 1, "desk", "i-1");
     EXPECT_EQ(node.get().substr(9, 3), "200");
-    auto before = served.world.runs();
-    served.world.hold(true);
+    auto before = fixture.world.runs();
+    fixture.world.hold(true);
     auto waiting = node.begin();
-    served.world.waitForRuns(before + 1);
+    fixture.world.waitForRuns(before + 1);
     node.reportOfStart(2000, "ready", 1, "desk", "i-1");
     EXPECT_EQ(waiting.readToEnd().substr(9, 3), "502");
-    served.world.hold(false);
+    fixture.world.hold(false);
 }
 
 }
--- a/Tests/StoreGoesBack/store_goes_back_test.cpp
+++ b/Tests/StoreGoesBack/store_goes_back_test.cpp
@@ -17,10 +17,10 @@
 
     constexpr milliseconds timeout { 5000 };
 
-    // The store's client, on a thread of its own; each call waits for its answer.
-    class calling_store {
+    // A store client on a thread of its own; each call blocks until its answer arrives.
+    class blocking_store {
     public:
-        explicit calling_store(const platform_world& world)
+        explicit blocking_store(const platform_world& world)
             : m_store(m_loop.context, world.storeAddress(), {})
         {
             m_store.setHooks({ [this](std::int64_t, std::int64_t) { ++m_returned; }, [this](std::size_t) { ++m_unreadable; } });
@@ -54,7 +54,7 @@
 
 }
 
-TEST(StoreEra, RisesWithEachReturn)
+TEST(StoreEra, IncreasesWithEachRestore)
 {
     const store_era::time_point now { std::chrono::seconds(100) };
     store_era eras;
@@ -65,9 +65,9 @@
     EXPECT_EQ(eras.observe(7, now), era_standing::Current);
 }
 
-// An answer that was under way tells what is gone; a store that stays in an earlier era is
-// another one, and nobody waits for ever for the one before.
-TEST(StoreEra, ThatFallsIsLateNewsOrAnotherStore)
+// A lower era comes from an answer that was delayed in transit. If the store stays in the lower era,
+// it is a different store, and its answers have to be accepted.
+TEST(StoreEra, ThatDecreasesIsADelayedAnswerOrAnotherStore)
 {
     store_era::time_point now { std::chrono::seconds(100) };
     store_era eras;
@@ -80,13 +80,14 @@
     EXPECT_EQ(eras.latest(), 4);
 }
 
-// Read before the return, written after it, where the same revision is another write: the
-// store takes it, and the writer is told that it cannot know.
-TEST(StoreGoesBack, UnderAWriteOfWhatWasReadBefore)
+// A value is read before the store is restored and written afterwards, when the same revision names
+// another node's write. The store accepts the write, so the client has to report that the outcome is
+// unknown.
+TEST(StoreGoesBack, BetweenAReadAndAWrite)
 {
     platform_world world;
-    calling_store store(world);
-    calling_store other(world);
+    blocking_store store(world);
+    blocking_store other(world);
     world.takeCopy();
     ASSERT_TRUE(std::get<store_swap>(store.swap("mine", 0, "first")).succeeded);
     auto read = std::get<store_range>(store.get("mine")).entries.at(0).modRevision;
@@ -99,7 +100,7 @@
     EXPECT_TRUE(std::get<store_failure>(written).mayHaveWritten);
     EXPECT_EQ(store.returned(), 1);
     EXPECT_EQ(other.returned(), 0);
-    // The next read is of the new era, and what follows it is known.
+    // The next read is of the new era, so the outcome of a write after it is known.
     auto again = std::get<store_range>(store.get("mine")).entries.at(0);
     EXPECT_TRUE(std::get<store_swap>(store.swap("mine", again.modRevision, "third")).succeeded);
 }
@@ -107,7 +108,7 @@
 TEST(StoreGoesBack, WithAHeaderThatIsMissingOrUnreadable)
 {
     platform_world world;
-    calling_store store(world);
+    blocking_store store(world);
     for (const std::string text : { "", "three", "-1", "4.5", "99999999999999999999", " 7x" }) {
         world.setEraText(text);
         EXPECT_FALSE(hasFailed(store.get("mine"))) << text;
@@ -120,9 +121,8 @@
     EXPECT_TRUE(hasFailed(store.get("mine")));
 }
 
-// The ledger of requests that end servers is written again by a node that knows it, though
-// nothing new happens, and with what others have written since.
-TEST(StoreGoesBack, AndTheLedgerOfPoisonIsWrittenAgain)
+// A node writes its records of poison requests again although nothing new happens.
+TEST(StoreGoesBack, AndThePoisonLedgerIsWrittenAgain)
 {
     constexpr const char* key = "/vanillashunt/poison";
     const auto deadly = fingerprintOf("/deadly", "");
@@ -133,19 +133,19 @@
     peer_rpc peers(client);
     poison_share_hooks hooks;
     hooks.changed = [] {};
-    hooks.chance = [](std::uint64_t bound) { return bound / 2; };
+    hooks.randomBelow = [](std::uint64_t bound) { return bound / 2; };
     hooks.wallNow = [] { return std::chrono::system_clock::now(); };
-    poison_share share(loop.context, store, peers, 1, "a", hooks);
-    store.setHooks({ [&](std::int64_t, std::int64_t) { share.storeReturned(); }, {} });
+    poison_share ledger(loop.context, store, peers, 1, "a", hooks);
+    store.setHooks({ [&](std::int64_t, std::int64_t) { ledger.storeReturned(); }, {} });
     auto storedEnds = [&]() -> std::size_t {
         auto document = parsePoisonDocument(world.valueOf(key));
         return document && !document->records.empty() ? document->records[0].ends.size() : 0;
     };
     world.takeCopy();
     loop.runAndWait([&] {
-        share.start();
+        ledger.start();
         for (const std::string instance : { "i-1", "i-2", "i-3" }) {
-            share.serverEnded({ { instance, {} }, { deadly } });
+            ledger.serverEnded({ { instance, {} }, { deadly } });
         }
     });
     while (storedEnds() < poisonEnds) {
@@ -153,17 +153,17 @@
     }
     world.returnToCopy();
     ASSERT_EQ(storedEnds(), 0U);
-    loop.runAndWait([&] { share.storeBack(); });
+    loop.runAndWait([&] { ledger.storeRecovered(); });
     while (storedEnds() < poisonEnds) {
         std::this_thread::sleep_for(milliseconds(10));
     }
-    loop.runAndWait([&] { EXPECT_EQ(share.standingOf(deadly), content_standing::Poison); });
+    loop.runAndWait([&] { EXPECT_EQ(ledger.standingOf(deadly), content_standing::Poison); });
     loop.context.stop();
 }
 
-// An older version of the routes undoes nothing, and the next one is in force, though the store
-// gives it a revision that it has given out before; twice in a row.
-TEST(StoreGoesBack, AndTheRoutesDoNot)
+// An older version of the routes in the restored store does not replace the current one, and the
+// next version takes effect although the store reuses a revision for it. Checked for two restores.
+TEST(StoreGoesBack, AndTheRoutesKeepTheirVersion)
 {
     platform_world world;
     world.configure(1, "elsewhere");
