--- a/Source/node/poison_document.cpp
+++ b/Source/node/poison_document.cpp
@@ -45,7 +45,7 @@
         poison_record record;
         record.content = *content;
         for (const auto& start : value[endsField]) {
-            if (!start.isUInt64() || record.ends.size() == poisonEnds) {
+            if (!start.isUInt64() || record.ends.size() == poisonThreshold) {
                 return std::nullopt;
             }
             record.ends.push_back(start.asUInt64());
--- a/Tests/PoisonLedger/poison_ledger_test.cpp
+++ b/Tests/PoisonLedger/poison_ledger_test.cpp
@@ -25,7 +25,7 @@
 
     bool isPoison(const poison_ledger& ledger, request_fingerprint content, wall_time at)
     {
-        return ledger.standingOf(content, at) == content_standing::Poison;
+        return ledger.standingOf(content, at) == poison_status::Poison;
     }
 
     poison_ledger ledgerOf(const std::vector<poison_record>& records)
@@ -67,16 +67,16 @@
 TEST(PoisonLedger, MarksAContentAsPoisonAtTheThirdServer)
 {
     poison_ledger ledger;
-    EXPECT_EQ(ledger.standingOf(deadly, now), content_standing::Harmless);
+    EXPECT_EQ(ledger.standingOf(deadly, now), poison_status::Harmless);
     endServers(ledger, deadly, 1, 1);
-    EXPECT_EQ(ledger.standingOf(deadly, now), content_standing::Suspect);
-    endServers(ledger, deadly, 1, poisonEnds - 1);
-    EXPECT_EQ(ledger.standingOf(deadly, now), content_standing::NearlyPoison);
+    EXPECT_EQ(ledger.standingOf(deadly, now), poison_status::Suspect);
+    endServers(ledger, deadly, 1, poisonThreshold - 1);
+    EXPECT_EQ(ledger.standingOf(deadly, now), poison_status::NearlyPoison);
     EXPECT_FALSE(isPoison(ledger, deadly, now));
     // A start that is already recorded does not count again.
     ledger.serverEnded(1, { deadly }, now);
     EXPECT_FALSE(isPoison(ledger, deadly, now));
-    ledger.serverEnded(poisonEnds, { deadly, innocent }, now);
+    ledger.serverEnded(poisonThreshold, { deadly, innocent }, now);
     EXPECT_TRUE(isPoison(ledger, deadly, now));
     EXPECT_FALSE(isPoison(ledger, innocent, now));
     EXPECT_EQ(ledger.poisonCount(now), 1U);
@@ -97,15 +97,15 @@
 TEST(PoisonLedger, ClearsAContentThatAServerHasServed)
 {
     poison_ledger ledger;
-    endServers(ledger, innocent, 1, poisonEnds);
+    endServers(ledger, innocent, 1, poisonThreshold);
     EXPECT_TRUE(ledger.served(innocent));
     EXPECT_FALSE(ledger.served(innocent));
     EXPECT_FALSE(isPoison(ledger, innocent, now));
     // This holds on other nodes, too, and after further ends.
     poison_ledger other;
-    endServers(other, innocent, 1, poisonEnds);
+    endServers(other, innocent, 1, poisonThreshold);
     other.merge(ledger.document(1, now), now);
-    endServers(other, innocent, 7, poisonEnds);
+    endServers(other, innocent, 7, poisonThreshold);
     EXPECT_FALSE(isPoison(other, innocent, now));
     EXPECT_FALSE(ledger.served(deadly));
     EXPECT_EQ(ledger.size(), 1U);
@@ -114,24 +114,24 @@
 TEST(PoisonLedger, ForgetsRecordsAfterTheirRetention)
 {
     poison_ledger ledger;
-    endServers(ledger, deadly, 1, poisonEnds);
-    EXPECT_TRUE(isPoison(ledger, deadly, now + poisonMemory));
-    auto later = now + poisonMemory + std::chrono::seconds(1);
+    endServers(ledger, deadly, 1, poisonThreshold);
+    EXPECT_TRUE(isPoison(ledger, deadly, now + poisonRetention));
+    auto later = now + poisonRetention + std::chrono::seconds(1);
     EXPECT_FALSE(isPoison(ledger, deadly, later));
     EXPECT_FALSE(ledger.hasUnshared(later));
     EXPECT_TRUE(ledger.document(1, later).empty());
     ledger.merge({}, later);
     EXPECT_EQ(ledger.size(), 0U);
     // A clock that is set back does not expire records.
-    endServers(ledger, deadly, 1, poisonEnds);
-    EXPECT_TRUE(isPoison(ledger, deadly, now - poisonMemory));
+    endServers(ledger, deadly, 1, poisonThreshold);
+    EXPECT_TRUE(isPoison(ledger, deadly, now - poisonRetention));
 }
 
 // Records far more requests than all servers can have in progress when they terminate.
 TEST(PoisonLedger, KeepsPoisonWhenItDropsRecords)
 {
     poison_ledger ledger;
-    endServers(ledger, deadly, 1, poisonEnds);
+    endServers(ledger, deadly, 1, poisonThreshold);
     constexpr std::uint64_t many = 3000;
     for (std::uint64_t i = 0; i < many; ++i) {
         ledger.serverEnded(1, { request_fingerprint { i } }, now + std::chrono::seconds(1));
@@ -189,7 +189,7 @@
 TEST(PoisonLedger, SurvivesSerialization)
 {
     poison_ledger ledger;
-    endServers(ledger, deadly, 1ULL << 63U, poisonEnds);
+    endServers(ledger, deadly, 1ULL << 63U, poisonThreshold);
     endServers(ledger, innocent, 1, 1);
     ledger.served(innocent);
     auto document = parsePoisonDocument(textOf(ledger.document(9, now), 9));
@@ -197,7 +197,7 @@
     EXPECT_EQ(document->version, 9);
     auto read = ledgerOf(document->records);
     EXPECT_TRUE(isPoison(read, deadly, now));
-    endServers(read, innocent, 1, poisonEnds);
+    endServers(read, innocent, 1, poisonThreshold);
     EXPECT_FALSE(isPoison(read, innocent, now));
 }
 
@@ -218,7 +218,7 @@
 TEST(PoisonLedger, SurvivesDamagedDocuments)
 {
     poison_ledger ledger;
-    endServers(ledger, deadly, 1, poisonEnds);
+    endServers(ledger, deadly, 1, poisonThreshold);
     auto text = textOf(ledger.document(1, now), 1);
     rc::check([&] {
         auto damaged = text;
@@ -244,16 +244,16 @@
     ledger.merge(document, now);
     ledger.knows(4);
     ASSERT_FALSE(ledger.hasUnshared(now));
-    ledger.storedAs(document);
+    ledger.reconcileWithStored(document);
     EXPECT_FALSE(ledger.hasUnshared(now));
     poison_ledger older;
     endServers(older, deadly, 1, 2);
     endServers(older, innocent, 1, 1);
-    ledger.storedAs(older.document(2, now));
+    ledger.reconcileWithStored(older.document(2, now));
     auto unshared = ledger.unshared(now);
     ASSERT_EQ(unshared.size(), 1U);
     EXPECT_EQ(unshared[0].content, deadly);
-    ledger.storedAs({});
+    ledger.reconcileWithStored({});
     EXPECT_EQ(ledger.unshared(now).size(), 2U);
     EXPECT_TRUE(isPoison(ledger, deadly, now));
 }
