--- a/Source/node/server_runs.h
+++ b/Source/node/server_runs.h
@@ -23,7 +23,7 @@
     // Called when the server at the address answers that it is not the expected start.
     std::function<void(const server_start&)> misdirected;
     // Called with the load that a start of the server reports; std::nullopt if it is unreadable.
-    std::function<void(const server_start&, const std::optional<server_load>&)> loadTold;
+    std::function<void(const server_start&, const std::optional<server_load>&)> loadReported;
 };
 
 // Runs requests on the local backend server, with the headers of the platform's server protocol.
@@ -41,7 +41,7 @@
     void closeIdle() { m_client.closeIdle(); }
 
     // Checks whether a server is present: by an open connection or by opening one.
-    void askWhetherThere(const std::function<void(server_presence)>&);
+    void checkPresence(const std::function<void(server_presence)>&);
 
     const instance_client_counts& counts() const { return m_client.counts(); }
 
