--- a/Source/node/poison_share.cpp
+++ b/Source/node/replicated_poison_ledger.cpp
@@ -1,4 +1,4 @@
-#include "node/poison_share.h"
+#include "node/replicated_poison_ledger.h"
 
 #include "events/event_catalogue.h"
 #include "http/json_text.h"
@@ -59,7 +59,7 @@
 
 }
 
-poison_share::poison_share(boost::asio::io_context& context, key_value_store& store, peer_rpc& peers, std::uint64_t selfId, std::string availabilityZone, poison_share_hooks hooks)
+replicated_poison_ledger::replicated_poison_ledger(boost::asio::io_context& context, key_value_store& store, peer_rpc& peers, std::uint64_t selfId, std::string availabilityZone, replicated_poison_ledger_hooks hooks)
     : m_store(store)
     , m_peers(peers)
     , m_selfId(selfId)
@@ -70,7 +70,7 @@
 {
 }
 
-watched_document_hooks poison_share::watchedHooks()
+watched_document_hooks replicated_poison_ledger::watchedHooks()
 {
     watched_document_hooks hooks;
     hooks.version = [this] { return m_ledger.version(); };
@@ -87,20 +87,20 @@
     return hooks;
 }
 
-void poison_share::setMembers(const member_list& members)
+void replicated_poison_ledger::setMembers(const member_list& members)
 {
     m_members = members;
     m_watched.setMembers(members);
 }
 
-void poison_share::serverEnded(const server_end& end)
+void replicated_poison_ledger::serverEnded(const server_end& end)
 {
     m_ledger.serverEnded(hashOf(end.start), end.running, m_hooks.wallNow());
     m_hasUnsavedObservations = true;
     save();
 }
 
-void poison_share::served(request_fingerprint content)
+void replicated_poison_ledger::served(request_fingerprint content)
 {
     if (m_ledger.served(content)) {
         m_hasUnsavedObservations = true;
@@ -108,13 +108,13 @@
     }
 }
 
-void poison_share::storeRecovered()
+void replicated_poison_ledger::storeRecovered()
 {
     m_watched.readAgain();
     save();
 }
 
-void poison_share::storeReturned()
+void replicated_poison_ledger::storeReturned()
 {
     m_revision.reset();
     m_ledger.storedAs({});
@@ -122,7 +122,7 @@
     save();
 }
 
-void poison_share::merge(const poison_document& document)
+void replicated_poison_ledger::merge(const poison_document& document)
 {
     auto before = m_ledger.version();
     m_ledger.merge(document.records, m_hooks.wallNow());
@@ -134,7 +134,7 @@
     save();
 }
 
-void poison_share::mergeStored(const store_entry& entry)
+void replicated_poison_ledger::mergeStored(const store_entry& entry)
 {
     m_revision = std::max(m_revision.value_or(0), entry.modRevision);
     if (auto document = parsePoisonDocument(entry.value)) {
@@ -148,7 +148,7 @@
     }
 }
 
-void poison_share::save()
+void replicated_poison_ledger::save()
 {
     if (m_saving) {
         return;
@@ -176,7 +176,7 @@
 // observer wrote its own records, the writes would conflict: after 24 of 195 nodes lost their
 // servers at once, all nodes made 2,666 store calls within half a minute, compared to 1,406 with one
 // writer for each zone.
-void poison_share::sendToZoneWriter()
+void replicated_poison_ledger::sendToZoneWriter()
 {
     auto writer = m_watched.firstWatcher();
     auto found = std::find_if(m_members->begin(), m_members->end(), [writer](const member& candidate) { return candidate.id == writer; });
@@ -195,7 +195,7 @@
 
 // A write succeeds only if the document has not changed since it was read. Retries until the
 // document contains all records of this node, no matter which node wrote them.
-void poison_share::readAndWrite()
+void replicated_poison_ledger::readAndWrite()
 {
     if (m_revision || !m_ledger.hasUnshared(m_hooks.wallNow())) {
         write();
@@ -215,7 +215,7 @@
     });
 }
 
-void poison_share::write()
+void replicated_poison_ledger::write()
 {
     if (!m_ledger.hasUnshared(m_hooks.wallNow())) {
         m_saving = false;
@@ -244,7 +244,7 @@
 
 // Another node has written the document. The rejection contains the current entry, if there is one,
 // so it need not be read again.
-void poison_share::writeConflicted(const store_swap& swap)
+void replicated_poison_ledger::writeConflicted(const store_swap& swap)
 {
     m_revision.reset();
     if (!swap.standing.empty()) {
@@ -253,7 +253,7 @@
     saveAfter(conflictRetryDelay);
 }
 
-void poison_share::saveFailed()
+void replicated_poison_ledger::saveFailed()
 {
     sendToPeers();
     auto delay = initialRetryDelay * (1 << std::min(m_failuresInARow, maxDoublings));
@@ -263,7 +263,7 @@
 
 // The store may be unavailable, may reject only this node, or may be unreachable only from this
 // node. The receivers forward the records, so that they reach all nodes without the store.
-void poison_share::sendToPeers()
+void replicated_poison_ledger::sendToPeers()
 {
     std::vector<const member*> peers;
     for (const auto& peer : *m_members) {
@@ -279,12 +279,12 @@
     }
 }
 
-Json::Value poison_share::unsharedDocument() const
+Json::Value replicated_poison_ledger::unsharedDocument() const
 {
     return toJson(poison_document { m_ledger.version(), m_ledger.unshared(m_hooks.wallNow()) });
 }
 
-void poison_share::mergeFromPeer(const Json::Value& document)
+void replicated_poison_ledger::mergeFromPeer(const Json::Value& document)
 {
     auto received = parsePoisonDocument(document);
     if (!received) {
@@ -299,7 +299,7 @@
     save();
 }
 
-void poison_share::saveAfter(milliseconds delay)
+void replicated_poison_ledger::saveAfter(milliseconds delay)
 {
     auto jitter = m_hooks.randomBelow(static_cast<std::uint64_t>(delay.count()));
     runAfter(delay + milliseconds(jitter), [this] {
@@ -308,7 +308,7 @@
     });
 }
 
-void poison_share::runAfter(milliseconds delay, std::function<void()> action)
+void replicated_poison_ledger::runAfter(milliseconds delay, std::function<void()> action)
 {
     m_saveTimer.expires_after(delay);
     m_saveTimer.async_wait([action = std::move(action)](boost::system::error_code error) {
@@ -318,12 +318,12 @@
     });
 }
 
-Json::Value poison_share::changesSince(std::int64_t version) const
+Json::Value replicated_poison_ledger::changesSince(std::int64_t version) const
 {
     return toJson(poison_document { m_ledger.version(), m_ledger.since(version, m_hooks.wallNow()) });
 }
 
-Json::Value poison_share::dump() const
+Json::Value replicated_poison_ledger::dump() const
 {
     auto state = m_watched.dump();
     state["contents"] = Json::UInt64(m_ledger.size());
--- a/Source/node/poison_share.h
+++ b/Source/node/replicated_poison_ledger.h
@@ -12,7 +12,7 @@
 
 namespace vanillashunt {
 
-struct poison_share_hooks {
+struct replicated_poison_ledger_hooks {
     // Called when the version of the ledger has increased, to announce it to the other nodes.
     std::function<void()> changed;
     // Returns a random number below its argument.
@@ -29,10 +29,10 @@
 // watcher of the document in its zone, which batches the records of several nodes and writes
 // them. If the zone writer does not, the observer writes them itself. A node that cannot reach
 // the store sends its records to some peers, which forward them.
-class poison_share {
+class replicated_poison_ledger {
 public:
     // The store and the RPC client have to outlive this object.
-    poison_share(boost::asio::io_context&, key_value_store&, peer_rpc&, std::uint64_t selfId, std::string availabilityZone, poison_share_hooks);
+    replicated_poison_ledger(boost::asio::io_context&, key_value_store&, peer_rpc&, std::uint64_t selfId, std::string availabilityZone, replicated_poison_ledger_hooks);
 
     void start() { m_watched.start(); }
     void setMembers(const member_list&);
@@ -91,7 +91,7 @@
     key_value_store& m_store;
     peer_rpc& m_peers;
     std::uint64_t m_selfId;
-    poison_share_hooks m_hooks;
+    replicated_poison_ledger_hooks m_hooks;
     member_list m_members;
     poison_ledger m_ledger;
     boost::asio::steady_timer m_saveTimer;
--- a/Source/node/routed_dump.h
+++ b/Source/node/routed_dump.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "node/poison_share.h"
+#include "node/replicated_poison_ledger.h"
 #include "node/route_watch.h"
 #include "node/routed_calls.h"
 #include "node/server_reports.h"
@@ -17,7 +17,7 @@
     const routed_calls& calls;
     const server_reports& server;
     const route_watch& routes;
-    const poison_share& poison;
+    const replicated_poison_ledger& poison;
     const quota_exchange& quotas;
     const peer_server& peers;
     std::uint64_t storeReturns = 0;
--- a/Tests/StoreGoesBack/store_goes_back_test.cpp
+++ b/Tests/StoreGoesBack/store_goes_back_test.cpp
@@ -1,7 +1,7 @@
 #include "RoutedWorld/platform_world.h"
 #include "RoutedWorld/routed_node.h"
 #include "http/json_text.h"
-#include "node/poison_share.h"
+#include "node/replicated_poison_ledger.h"
 #include "platform/key_value_store.h"
 
 #include <gtest/gtest.h>
@@ -131,11 +131,11 @@
     key_value_store store(loop.context, world.storeAddress(), {});
     http_client client(loop.context, {});
     peer_rpc peers(client);
-    poison_share_hooks hooks;
+    replicated_poison_ledger_hooks hooks;
     hooks.changed = [] {};
     hooks.randomBelow = [](std::uint64_t bound) { return bound / 2; };
     hooks.wallNow = [] { return std::chrono::system_clock::now(); };
-    poison_share ledger(loop.context, store, peers, 1, "a", hooks);
+    replicated_poison_ledger ledger(loop.context, store, peers, 1, "a", hooks);
     store.setHooks({ [&](std::int64_t, std::int64_t) { ledger.storeReturned(); }, {} });
     auto storedEnds = [&]() -> std::size_t {
         auto document = parsePoisonDocument(world.valueOf(key));
