--- a/Source/node/replicated_poison_ledger.cpp
+++ b/Source/node/replicated_poison_ledger.cpp
@@ -117,7 +117,7 @@
 void replicated_poison_ledger::storeReturned()
 {
     m_revision.reset();
-    m_ledger.storedAs({});
+    m_ledger.reconcileWithStored({});
     m_watched.storeReturned();
     save();
 }
@@ -140,7 +140,7 @@
     if (auto document = parsePoisonDocument(entry.value)) {
         bool isOlder = document->version <= m_ledger.version();
         if (isOlder && entry.modRevision == m_revision) {
-            m_ledger.storedAs(document->records);
+            m_ledger.reconcileWithStored(document->records);
         }
         merge(*document);
     } else {
--- a/Source/node/replicated_poison_ledger.h
+++ b/Source/node/replicated_poison_ledger.h
@@ -53,9 +53,9 @@
     // Called when the local backend server has served a request with this content.
     void served(request_fingerprint);
 
-    content_standing standingOf(request_fingerprint content) const
+    poison_status standingOf(request_fingerprint content) const
     {
-        return m_ledger.has(content) ? m_ledger.standingOf(content, m_hooks.wallNow()) : content_standing::Harmless;
+        return m_ledger.has(content) ? m_ledger.standingOf(content, m_hooks.wallNow()) : poison_status::Harmless;
     }
 
     // Number of contents that are poison.
--- a/Source/node/routed_dump.h
+++ b/Source/node/routed_dump.h
@@ -32,7 +32,7 @@
 
 // The targets that this node has sent calls to, with the figures by which it chooses among
 // them. Not part of dumpCalls(), which is evaluated for each request of the metrics.
-Json::Value dumpTargets(const std::vector<target_standing>&);
+Json::Value dumpTargets(const std::vector<target_status>&);
 
 node_gauges gaugesOf(const routed_parts&);
 
--- a/Source/node/server_runs.cpp
+++ b/Source/node/server_runs.cpp
@@ -60,7 +60,7 @@
 void server_runs::ended(std::uint64_t runId, const server_start& start, instance_result result)
 {
     m_clientIds.erase(runId);
-    answer_marks marks;
+    answer_metadata marks;
     if (const auto* response = std::get_if<http_response>(&result)) {
         marks = readAnswerMarks(response->fields);
         if (response->status == statusMisdirected) {
--- a/Tests/StoreGoesBack/store_goes_back_test.cpp
+++ b/Tests/StoreGoesBack/store_goes_back_test.cpp
@@ -148,16 +148,16 @@
             ledger.serverEnded({ { instance, {} }, { deadly } });
         }
     });
-    while (storedEnds() < poisonEnds) {
+    while (storedEnds() < poisonThreshold) {
         std::this_thread::sleep_for(milliseconds(10));
     }
     world.returnToCopy();
     ASSERT_EQ(storedEnds(), 0U);
     loop.runAndWait([&] { ledger.storeRecovered(); });
-    while (storedEnds() < poisonEnds) {
+    while (storedEnds() < poisonThreshold) {
         std::this_thread::sleep_for(milliseconds(10));
     }
-    loop.runAndWait([&] { EXPECT_EQ(ledger.standingOf(deadly), content_standing::Poison); });
+    loop.runAndWait([&] { EXPECT_EQ(ledger.standingOf(deadly), poison_status::Poison); });
     loop.context.stop();
 }
 
