--- a/Source/backend/backend_health.h
+++ b/Source/backend/backend_health.h
@@ -22,7 +22,7 @@
     // A call ran and was answered, which shows more than a probe.
     void callAnswered(std::chrono::steady_clock::time_point now);
 
-    bool offered() const { return m_offered; }
+    bool isHealthy() const { return m_offered; }
 
 private:
     bool m_offered = true;
--- a/Source/backend/backend_watch.cpp
+++ b/Source/backend/backend_health_monitor.cpp
@@ -1,4 +1,4 @@
-#include "backend/backend_watch.h"
+#include "backend/backend_health_monitor.h"
 
 namespace vanillashunt {
 
@@ -18,14 +18,14 @@
 
 }
 
-backend_watch::backend_watch(boost::asio::io_context& context, backend_client& client, offered_hook offeredChanged)
+backend_health_monitor::backend_health_monitor(boost::asio::io_context& context, backend_client& client, offered_hook offeredChanged)
     : m_client(client)
     , m_offeredChanged(std::move(offeredChanged))
     , m_timer(context)
 {
 }
 
-void backend_watch::setBackend(const std::optional<backend_announcement>& announcement)
+void backend_health_monitor::setBackend(const std::optional<backend_announcement>& announcement)
 {
     bool same = announcement && m_backend && announcement->address == m_backend->address && announcement->healthPath == m_backend->healthPath;
     if (same) {
@@ -36,12 +36,12 @@
     schedule();
 }
 
-void backend_watch::callAnswered()
+void backend_health_monitor::callAnswered()
 {
     m_health.callAnswered(std::chrono::steady_clock::now());
 }
 
-void backend_watch::schedule()
+void backend_health_monitor::schedule()
 {
     m_timer.expires_after(probePeriod);
     m_timer.async_wait([this](boost::system::error_code error) {
@@ -51,7 +51,7 @@
     });
 }
 
-void backend_watch::probe()
+void backend_health_monitor::probe()
 {
     if (!m_backend || m_backend->healthPath.empty()) {
         return;
@@ -64,12 +64,12 @@
     });
 }
 
-void backend_watch::probed(const http_result& result)
+void backend_health_monitor::probed(const http_result& result)
 {
-    bool before = m_health.offered();
+    bool before = m_health.isHealthy();
     m_health.probed(readProbe(result), std::chrono::steady_clock::now());
-    if (m_health.offered() != before) {
-        m_offeredChanged(m_health.offered());
+    if (m_health.isHealthy() != before) {
+        m_offeredChanged(m_health.isHealthy());
     }
     schedule();
 }
--- a/Source/backend/backend_watch.h
+++ b/Source/backend/backend_health_monitor.h
@@ -13,18 +13,18 @@
 namespace vanillashunt {
 
 // Probes the own backend server's health endpoint while one is announced.
-class backend_watch {
+class backend_health_monitor {
 public:
     // The hook is told each change of whether the backend server is to be offered.
     using offered_hook = std::function<void(bool offered)>;
 
-    backend_watch(boost::asio::io_context&, backend_client&, offered_hook);
+    backend_health_monitor(boost::asio::io_context&, backend_client&, offered_hook);
 
     // A new announcement starts afresh; nothing ends the probes.
     void setBackend(const std::optional<backend_announcement>&);
     void callAnswered();
 
-    bool offered() const { return m_health.offered(); }
+    bool isHealthy() const { return m_health.offered(); }
 
 private:
     void schedule();
--- a/Source/backend/instance_answer.cpp
+++ b/Source/backend/instance_answer.cpp
@@ -20,7 +20,7 @@
     return marks.requestId.empty() || marks.requestId == requestId;
 }
 
-call_answer judgeAnswer(instance_result result, const answer_metadata& marks)
+call_answer classifyAnswer(instance_result result, const answer_metadata& marks)
 {
     if (const auto* failure = std::get_if<instance_failure>(&result)) {
         auto lost = verdict::mayHaveRun(verdict_reason::AnswerLost);
--- a/Source/backend/instance_answer.h
+++ b/Source/backend/instance_answer.h
@@ -11,6 +11,6 @@
 
 // Judges what a server answered to a request, and what its silence means. The
 // marks are those of the response.
-call_answer judgeAnswer(instance_result, const answer_metadata&);
+call_answer classifyAnswer(instance_result, const answer_metadata&);
 
 }
--- a/Source/backend/instance_client.h
+++ b/Source/backend/instance_client.h
@@ -30,7 +30,7 @@
     // Idle connections that are kept. A new connection costs the server time.
     std::size_t maxIdle = 256;
     // Whether the answer belongs to the request of that id; one that does not is dropped.
-    std::function<bool(const http_response&, const std::string& requestId)> belongs;
+    std::function<bool(const http_response&, const std::string& requestId)> isAnswerTo;
 };
 
 struct instance_client_counts {
--- a/Source/backend/lost_runs.cpp
+++ b/Source/backend/server_end_detector.cpp
@@ -1,4 +1,4 @@
-#include "backend/lost_runs.h"
+#include "backend/server_end_detector.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,7 +19,7 @@
 
 }
 
-void lost_runs::lost(const server_start& start, request_fingerprint content, time_point now)
+void server_end_detector::runLost(const server_start& start, request_fingerprint content, time_point now)
 {
     if (!m_start || *m_start != start) {
         m_start = start;
@@ -33,7 +33,7 @@
     m_lost.push_back(content);
 }
 
-void lost_runs::cancelled(request_fingerprint content, time_point now)
+void server_end_detector::runCancelled(request_fingerprint content, time_point now)
 {
     m_cancelled.push_back({ content, now });
     while (m_cancelled.size() > mostCancelled || m_cancelled.front().at < now - cancelledTime) {
@@ -41,7 +41,7 @@
     }
 }
 
-bool lost_runs::takeDue(time_point now)
+bool server_end_detector::startProbeIfDue(time_point now)
 {
     if (m_lost.empty() || m_asked || now < m_since + settleTime) {
         return false;
@@ -50,7 +50,7 @@
     return true;
 }
 
-std::optional<server_end> lost_runs::asked(server_presence presence, time_point now)
+std::optional<server_end> server_end_detector::probed(server_presence presence, time_point now)
 {
     if (presence == server_presence::Gone) {
         return takeEnd(now);
@@ -63,7 +63,7 @@
 }
 
 // A server may be back before it is asked; its first report tells.
-std::optional<server_end> lost_runs::serverNamed(const server_start& start, time_point now)
+std::optional<server_end> server_end_detector::serverIdentified(const server_start& start, time_point now)
 {
     if (m_lost.empty()) {
         return std::nullopt;
@@ -77,7 +77,7 @@
     return std::nullopt;
 }
 
-std::optional<server_end> lost_runs::takeEnd(time_point now)
+std::optional<server_end> server_end_detector::takeEnd(time_point now)
 {
     if (m_lost.empty()) {
         return std::nullopt;
--- a/Source/backend/lost_runs.h
+++ b/Source/backend/server_end_detector.h
@@ -28,26 +28,26 @@
 // Tells the end of a server from an answer that was lost. The runs whose answers were
 // lost, or that were cancelled a moment before, are kept until it is known whether the
 // server is still there.
-class lost_runs {
+class server_end_detector {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
     // A run ended without an answer.
-    void lost(const server_start&, request_fingerprint, time_point now);
+    void runLost(const server_start&, request_fingerprint, time_point now);
 
     // A run was cancelled; the server may end under it all the same.
-    void cancelled(request_fingerprint, time_point now);
+    void runCancelled(request_fingerprint, time_point now);
 
     // Whether the server is to be asked now; true once for each doubt.
-    bool takeDue(time_point now);
+    bool startProbeIfDue(time_point now);
 
     bool inDoubt() const { return !m_lost.empty(); }
 
     // What came of asking; returns the end, if it was one.
-    std::optional<server_end> asked(server_presence, time_point now);
+    std::optional<server_end> probed(server_presence, time_point now);
 
     // A start of the server is there: a report, or its answer that it is not another one.
-    std::optional<server_end> serverNamed(const server_start&, time_point now);
+    std::optional<server_end> serverIdentified(const server_start&, time_point now);
 
 private:
     struct cancelled_run {
--- a/Source/caller/pipeline_server.cpp
+++ b/Source/caller/pipeline_server.cpp
@@ -43,10 +43,10 @@
     return m_state->acceptor->address();
 }
 
-void pipeline_server::endLate(std::chrono::steady_clock::time_point now)
+void pipeline_server::enforceTimeouts(std::chrono::steady_clock::time_point now)
 {
     for (const auto& session : sessionsOf(*m_state)) {
-        session->endLate(now);
+        session->enforceTimeouts(now);
     }
 }
 
--- a/Source/caller/pipeline_server.h
+++ b/Source/caller/pipeline_server.h
@@ -40,7 +40,7 @@
     std::string address() const;
 
     // Ends connections whose client takes too long; to be called several times a second.
-    void endLate(std::chrono::steady_clock::time_point now);
+    void enforceTimeouts(std::chrono::steady_clock::time_point now);
 
     // Closes each connection after its last answer, so that clients go elsewhere.
     void closeAfterAnswers();
--- a/Source/caller/pipeline_session.h
+++ b/Source/caller/pipeline_session.h
@@ -38,7 +38,7 @@
     ~pipeline_session();
 
     void start();
-    void endLate(time_point now);
+    void enforceTimeouts(time_point now);
     void closeIfIdle();
     // Sends the answers whose turn has come.
     void flush();
--- a/Source/node/node_process.cpp
+++ b/Source/node/node_process.cpp
@@ -1,7 +1,7 @@
 #include "node/node_process.h"
 
+#include "backend/backend_health_monitor.h"
 #include "backend/backend_port.h"
-#include "backend/backend_watch.h"
 #include "events/event_catalogue.h"
 #include "node/call_actor.h"
 #include "node/configuration_service.h"
@@ -106,7 +106,7 @@
         asio::signal_set m_signals { m_context, SIGTERM, SIGINT };
         member m_self;
         std::optional<backend_announcement> m_announcement;
-        std::unique_ptr<backend_watch> m_backendWatch;
+        std::unique_ptr<backend_health_monitor> m_backendWatch;
         planned_stop m_stop { m_settings.drainTimeout };
         bool m_refusesCallers = false;
         member_list m_members;
@@ -165,7 +165,7 @@
         m_callerServer = std::make_unique<http_server>(m_context, settings.caller.listen, callerLimits,
             [this](http_request request, const std::shared_ptr<http_exchange>& exchange) { callerRequest(std::move(request), exchange); });
         bindPeerPort();
-        m_backendWatch = std::make_unique<backend_watch>(m_context, *m_backend, [this](bool offered) { offerBackend(offered); });
+        m_backendWatch = std::make_unique<backend_health_monitor>(m_context, *m_backend, [this](bool offered) { offerBackend(offered); });
         backend_port_hooks hooks;
         hooks.announced = [this](const backend_announcement& announcement) { announced(announcement); };
         hooks.withdrawn = [this] { withdrawn(); };
@@ -251,7 +251,7 @@
         }
         m_announcement = announcement;
         m_host->send(m_calls, backend_announced { announcement });
-        offerBackend(m_backendWatch->offered());
+        offerBackend(m_backendWatch->isHealthy());
     }
 
     // Tells the other nodes which service they may call here; none where the
--- a/Source/node/poison_share.h
+++ b/Source/node/poison_share.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "backend/lost_runs.h"
+#include "backend/server_end_detector.h"
 #include "decision/poison_ledger.h"
 #include "node/poison_document.h"
 #include "node/watched_document.h"
--- a/Source/node/routed_process.cpp
+++ b/Source/node/routed_process.cpp
@@ -348,7 +348,7 @@
         m_settingsWatch.check(now);
         if (now >= m_nextSessionCheck) {
             m_nextSessionCheck = now + sessionCheckPeriod;
-            m_clients->endLate(now);
+            m_clients->enforceTimeouts(now);
         }
         m_stop.step(now);
         m_busyTicks = m_calls.isBusy();
--- a/Source/node/routed_target.cpp
+++ b/Source/node/routed_target.cpp
@@ -50,7 +50,7 @@
         endRuns(now);
     }
     if (server) {
-        reportServerEnd(m_lostRuns.serverNamed(server->start, now));
+        reportServerEnd(m_lostRuns.serverIdentified(server->start, now));
     }
     startReleased(now);
 }
@@ -197,7 +197,7 @@
     }
     if (extracted.mapped().running) {
         forgetRun(arrivalId, extracted.mapped());
-        m_lostRuns.cancelled(extracted.mapped().request.context.content, now);
+        m_lostRuns.runCancelled(extracted.mapped().request.context.content, now);
         m_hooks.cancelRun(arrivalId);
     }
     m_gate.cancel(arrivalId, now);
@@ -234,7 +234,7 @@
         m_gate.cancel(runId, now);
     }
     if (answer.outcome.reason == verdict_reason::AnswerLost) {
-        m_lostRuns.lost(call.server, call.request.context.content, now);
+        m_lostRuns.runLost(call.server, call.request.context.content, now);
     }
     reply(call, answer, now);
     startReleased(now);
@@ -329,7 +329,7 @@
 
 void routed_target::serverChecked(server_presence presence, time_point now)
 {
-    reportServerEnd(m_lostRuns.asked(presence, now));
+    reportServerEnd(m_lostRuns.probed(presence, now));
 }
 
 // A content that the server answered recently did not terminate it. Without this exception, two
@@ -365,7 +365,7 @@
 
 void routed_target::tick(time_point now)
 {
-    if (m_hooks.checkServer && m_lostRuns.takeDue(now)) {
+    if (m_hooks.checkServer && m_lostRuns.startProbeIfDue(now)) {
         m_hooks.checkServer();
     }
     startReleased(now);
--- a/Source/node/routed_target.h
+++ b/Source/node/routed_target.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "admission/admission_gate.h"
-#include "backend/lost_runs.h"
+#include "backend/server_end_detector.h"
 #include "backend/server_tracker.h"
 #include "call/call_answer.h"
 #include "call/call_observation.h"
@@ -169,7 +169,7 @@
     bool m_stopping = false;
     std::unordered_map<std::uint64_t, arrival> m_arrivals;
     run_deadlines m_deadlines;
-    lost_runs m_lostRuns;
+    server_end_detector m_lostRuns;
     recent_contents m_servedContents;
     // Id of the run, by request id.
     std::unordered_map<std::string, std::uint64_t> m_runOfRequest;
--- a/Source/node/server_runs.cpp
+++ b/Source/node/server_runs.cpp
@@ -16,7 +16,7 @@
 
     instance_client_settings withOwnership(instance_client_settings settings)
     {
-        settings.belongs = [](const http_response& response, const std::string& requestId) {
+        settings.isAnswerTo = [](const http_response& response, const std::string& requestId) {
             return answersRequest(readAnswerMarks(response.fields), requestId);
         };
         return settings;
@@ -69,7 +69,7 @@
     if (marks.load || marks.isLoadUnreadable) {
         m_hooks.loadTold(start, marks.load);
     }
-    m_hooks.answered(runId, judgeAnswer(std::move(result), marks));
+    m_hooks.answered(runId, classifyAnswer(std::move(result), marks));
 }
 
 }
--- a/Source/node/server_runs.h
+++ b/Source/node/server_runs.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "backend/instance_client.h"
-#include "backend/lost_runs.h"
+#include "backend/server_end_detector.h"
 #include "backend/server_tracker.h"
 #include "call/call_answer.h"
 #include "call/call_request.h"
--- a/Tests/BackendHealth/backend_health_test.cpp
+++ b/Tests/BackendHealth/backend_health_test.cpp
@@ -23,11 +23,11 @@
     time_point now;
     backend_health health;
     health.probed(probe_result::Unwell, now);
-    EXPECT_TRUE(health.offered());
+    EXPECT_TRUE(health.isHealthy());
     probeTimes(health, probe_result::Unreachable, 2, now);
-    EXPECT_FALSE(health.offered());
+    EXPECT_FALSE(health.isHealthy());
     health.probed(probe_result::Well, now);
-    EXPECT_TRUE(health.offered());
+    EXPECT_TRUE(health.isHealthy());
 }
 
 TEST(BackendHealth, AnEndpointThatLiesIsNotBelievedWhileCallsAreAnswered)
@@ -36,9 +36,9 @@
     backend_health health;
     health.callAnswered(now);
     probeTimes(health, probe_result::Unwell, 20, now + milliseconds(900));
-    EXPECT_TRUE(health.offered());
+    EXPECT_TRUE(health.isHealthy());
     probeTimes(health, probe_result::Unwell, 1, now + milliseconds(1000));
-    EXPECT_FALSE(health.offered());
+    EXPECT_FALSE(health.isHealthy());
 }
 
 }
--- a/Tests/Measure/call_cost.cpp
+++ b/Tests/Measure/call_cost.cpp
@@ -62,7 +62,7 @@
     {
         instance_client_settings settings;
         settings.maxIdle = mostIdle;
-        settings.belongs = [](const http_response&, const std::string&) { return true; };
+        settings.isAnswerTo = [](const http_response&, const std::string&) { return true; };
         return settings;
     }
 
--- a/Tests/ServerAnswers/server_answers_test.cpp
+++ b/Tests/ServerAnswers/server_answers_test.cpp
@@ -28,7 +28,7 @@
         exchange()
         {
             instance_client_settings settings;
-            settings.belongs = [](const http_response& response, const std::string& id) { return answersRequest(marksOf(response), id); };
+            settings.isAnswerTo = [](const http_response& response, const std::string& id) { return answersRequest(marksOf(response), id); };
             m_client = std::make_unique<instance_client>(m_loop.context, settings);
         }
 
@@ -80,7 +80,7 @@
         if (const auto* response = std::get_if<http_response>(&result)) {
             marks = marksOf(*response);
         }
-        return judgeAnswer(std::move(result), marks);
+        return classifyAnswer(std::move(result), marks);
     }
 
     // What comes of one request to which the server sends these bytes and then leaves.
--- a/Tests/ServerEnds/server_ends_test.cpp
+++ b/Tests/ServerEnds/server_ends_test.cpp
@@ -1,4 +1,4 @@
-#include "backend/lost_runs.h"
+#include "backend/server_end_detector.h"
 
 #include <gtest/gtest.h>
 
@@ -13,11 +13,11 @@
     constexpr milliseconds longAgo { 5000 };
 
     struct world {
-        lost_runs runs;
+        server_end_detector runs;
         server_start server { "i-1" };
         request_fingerprint first = fingerprintOf("/a", "");
         request_fingerprint second = fingerprintOf("/b", "");
-        lost_runs::time_point now { longAgo };
+        server_end_detector::time_point now { longAgo };
     };
 
 }
@@ -25,40 +25,40 @@
 TEST(ServerEnds, AreToldWithWhatWasLostOnceTheServerIsGone)
 {
     world world;
-    world.runs.lost(world.server, world.first, world.now);
-    world.runs.lost(world.server, world.second, world.now);
-    world.runs.lost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.takeDue(world.now));
-    EXPECT_TRUE(world.runs.takeDue(world.now + settled));
-    EXPECT_FALSE(world.runs.takeDue(world.now + settled));
-    auto end = world.runs.asked(server_presence::Gone, world.now + settled);
+    world.runs.runLost(world.server, world.first, world.now);
+    world.runs.runLost(world.server, world.second, world.now);
+    world.runs.runLost(world.server, world.first, world.now);
+    EXPECT_FALSE(world.runs.startProbeIfDue(world.now));
+    EXPECT_TRUE(world.runs.startProbeIfDue(world.now + settled));
+    EXPECT_FALSE(world.runs.startProbeIfDue(world.now + settled));
+    auto end = world.runs.probed(server_presence::Gone, world.now + settled);
     ASSERT_TRUE(end);
     EXPECT_EQ(end->start, world.server);
     EXPECT_EQ(end->running.size(), 2U);
-    EXPECT_FALSE(world.runs.asked(server_presence::Gone, world.now + settled));
+    EXPECT_FALSE(world.runs.probed(server_presence::Gone, world.now + settled));
 }
 
 TEST(ServerEnds, AreNotTakenFromAnAnswerThatWasLostAlone)
 {
     world world;
-    world.runs.lost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.asked(server_presence::Connected, world.now));
-    EXPECT_FALSE(world.runs.takeDue(world.now + settled));
-    EXPECT_FALSE(world.runs.asked(server_presence::Gone, world.now + settled));
-    world.runs.lost(world.server, world.second, world.now + longAgo);
-    EXPECT_TRUE(world.runs.takeDue(world.now + longAgo + settled));
-    EXPECT_EQ(world.runs.asked(server_presence::Gone, world.now + longAgo + settled)->running, std::vector { world.second });
+    world.runs.runLost(world.server, world.first, world.now);
+    EXPECT_FALSE(world.runs.probed(server_presence::Connected, world.now));
+    EXPECT_FALSE(world.runs.startProbeIfDue(world.now + settled));
+    EXPECT_FALSE(world.runs.probed(server_presence::Gone, world.now + settled));
+    world.runs.runLost(world.server, world.second, world.now + longAgo);
+    EXPECT_TRUE(world.runs.startProbeIfDue(world.now + longAgo + settled));
+    EXPECT_EQ(world.runs.probed(server_presence::Gone, world.now + longAgo + settled)->running, std::vector { world.second });
 }
 
 TEST(ServerEnds, HaveWhatWasCancelledAMomentBefore)
 {
     world world;
-    world.runs.cancelled(world.first, world.now - longAgo);
-    world.runs.cancelled(world.second, world.now);
-    EXPECT_FALSE(world.runs.takeDue(world.now + settled));
+    world.runs.runCancelled(world.first, world.now - longAgo);
+    world.runs.runCancelled(world.second, world.now);
+    EXPECT_FALSE(world.runs.startProbeIfDue(world.now + settled));
     auto lost = fingerprintOf("/c", "");
-    world.runs.lost(world.server, lost, world.now);
-    auto end = world.runs.asked(server_presence::Gone, world.now + settled);
+    world.runs.runLost(world.server, lost, world.now);
+    auto end = world.runs.probed(server_presence::Gone, world.now + settled);
     ASSERT_TRUE(end);
     EXPECT_EQ(end->running.size(), 2U);
     EXPECT_EQ(std::count(end->running.begin(), end->running.end(), world.first), 0);
@@ -67,25 +67,25 @@
 TEST(ServerEnds, KeepTheStartsOfAServerApart)
 {
     world world;
-    world.runs.lost({ "i-0" }, world.first, world.now);
-    world.runs.lost(world.server, world.second, world.now);
-    EXPECT_TRUE(world.runs.takeDue(world.now + settled));
-    EXPECT_EQ(world.runs.asked(server_presence::Gone, world.now + settled)->running, std::vector { world.second });
+    world.runs.runLost({ "i-0" }, world.first, world.now);
+    world.runs.runLost(world.server, world.second, world.now);
+    EXPECT_TRUE(world.runs.startProbeIfDue(world.now + settled));
+    EXPECT_EQ(world.runs.probed(server_presence::Gone, world.now + settled)->running, std::vector { world.second });
 }
 
 TEST(ServerEnds, AreToldByTheNextStartWhereTheServerIsBackAtOnce)
 {
     world world;
-    world.runs.lost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.asked(server_presence::Reachable, world.now + settled));
-    auto end = world.runs.serverNamed({ "i-2" }, world.now + longAgo);
+    world.runs.runLost(world.server, world.first, world.now);
+    EXPECT_FALSE(world.runs.probed(server_presence::Reachable, world.now + settled));
+    auto end = world.runs.serverIdentified({ "i-2" }, world.now + longAgo);
     ASSERT_TRUE(end);
     EXPECT_EQ(end->start, world.server);
-    world.runs.lost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.serverNamed(world.server, world.now));
+    world.runs.runLost(world.server, world.first, world.now);
+    EXPECT_FALSE(world.runs.serverIdentified(world.server, world.now));
     EXPECT_TRUE(world.runs.inDoubt());
-    EXPECT_FALSE(world.runs.asked(server_presence::Reachable, world.now + settled));
-    EXPECT_FALSE(world.runs.serverNamed(world.server, world.now + settled));
+    EXPECT_FALSE(world.runs.probed(server_presence::Reachable, world.now + settled));
+    EXPECT_FALSE(world.runs.serverIdentified(world.server, world.now + settled));
     EXPECT_FALSE(world.runs.inDoubt());
 }
 
