--- a/Source/caller/caller_history.cpp
+++ b/Source/caller/caller_history.cpp
@@ -6,30 +6,30 @@
 
 namespace {
 
-    // Whether the try can be the first of its request, by the caller's own words.
-    bool isFirstTry(const caller_request& asked)
+    // Whether the attempt can be the first of its request, as far as the caller states.
+    bool isFirstAttempt(const caller_request& request)
     {
-        return !asked.permit && (asked.attempt == 1 || (asked.attempt == 0 && asked.idempotencyKey.empty()));
+        return !request.permit && (request.attempt == 1 || (request.attempt == 0 && request.idempotencyKey.empty()));
     }
 
-    // Whether the context answered the try just before this one.
-    bool isLatest(const caller_request& asked, const context_text& brought)
+    // Whether the context is from the response to the attempt just before this one.
+    bool isFromPreviousAttempt(const caller_request& request, const context_text& returnedContext)
     {
-        return asked.attempt <= brought.attempt + 1;
+        return request.attempt <= returnedContext.attempt + 1;
     }
 
 }
 
-caller_history readHistory(const caller_request& asked, const std::optional<context_text>& brought, std::uint32_t allowance)
+caller_history readHistory(const caller_request& request, const std::optional<context_text>& returnedContext, std::uint32_t allowance)
 {
-    if (!brought) {
-        bool first = isFirstTry(asked);
-        return { first ? allowance : 0, !first };
+    if (!returnedContext) {
+        bool isFirst = isFirstAttempt(request);
+        return { isFirst ? allowance : 0, !isFirst };
     }
-    if (!isLatest(asked, *brought)) {
+    if (!isFromPreviousAttempt(request, *returnedContext)) {
         return { 0, true };
     }
-    return { std::min(brought->retryTokens, allowance), brought->mayHaveRun };
+    return { std::min(returnedContext->retryTokens, allowance), returnedContext->mayHaveRun };
 }
 
 }
--- a/Source/caller/caller_history.h
+++ b/Source/caller/caller_history.h
@@ -8,16 +8,17 @@
 
 namespace vanillashunt {
 
-// What a caller's try tells of its earlier tries of the same request.
+// What an attempt shows about the caller's earlier attempts of the same request.
 struct caller_history {
-    // Retry tokens that the request still has.
+    // Remaining retry tokens of the request.
     std::uint32_t tokens = 0;
-    // Whether an earlier try may have run.
+    // Whether an earlier attempt may have run.
     bool earlierMayHaveRun = false;
 };
 
-// A try that may be a repeat and does not bring back the answer of the try
-// before it gets no tokens, and counts as one that may have run before.
-caller_history readHistory(const caller_request&, const std::optional<context_text>& brought, std::uint32_t allowance);
+// Derives the history from the request and the context that it returns from an earlier response. An
+// attempt that may be a retry, but does not return the context of the attempt before it, gets no
+// tokens and is treated as one that may have run before.
+caller_history readHistory(const caller_request&, const std::optional<context_text>& returnedContext, std::uint32_t allowance);
 
 }
--- a/Source/caller/caller_response.cpp
+++ b/Source/caller/caller_response.cpp
@@ -19,14 +19,14 @@
         return writeJson(body);
     }
 
-    void addRetryAfter(std::chrono::milliseconds wait, http_fields& fields)
+    void addRetryAfter(std::chrono::milliseconds delay, http_fields& fields)
     {
-        if (wait.count() <= 0) {
+        if (delay.count() <= 0) {
             return;
         }
-        auto seconds = (wait.count() + millisecondsPerSecond - 1) / millisecondsPerSecond;
+        auto seconds = (delay.count() + millisecondsPerSecond - 1) / millisecondsPerSecond;
         fields.push_back({ header::retryAfter, std::to_string(seconds) });
-        fields.push_back({ header::retryAfterMilliseconds, std::to_string(wait.count()) });
+        fields.push_back({ header::retryAfterMilliseconds, std::to_string(delay.count()) });
     }
 
 }
@@ -62,8 +62,8 @@
 {
     auto& answer = final.answer;
     http_response response;
-    bool answered = answer.outcome.run == execution::Ran && answer.status != 0;
-    if (answered) {
+    bool hasAnswer = answer.outcome.run == execution::Ran && answer.status != 0;
+    if (hasAnswer) {
         response.status = answer.status;
         response.fields = std::move(answer.fields);
         response.body = std::move(answer.body);
--- a/Source/caller/caller_response.h
+++ b/Source/caller/caller_response.h
@@ -9,22 +9,22 @@
 
 namespace vanillashunt {
 
-// What a caller is told at last.
+// The result of a request, as it is sent to the caller.
 struct final_answer {
     call_answer answer;
     std::string requestId;
-    // For the caller to bring back with a repeat; empty for an onward call.
+    // Opaque context that the caller returns with a retry; empty for an onward call.
     std::string context;
-    // For the repeat of a non-idempotent request that did not succeed.
+    // Ticket for retrying a non-idempotent request that did not succeed.
     std::optional<ticket> permit;
-    // One sentence for people; empty when answered.
+    // Human-readable explanation in one sentence; empty if the backend server answered.
     std::string message;
 };
 
-// Writes the response of docs/design/headers.md.
+// Builds the response that docs/design/headers.md specifies.
 http_response toResponse(final_answer);
 
-// The HTTP status of a verdict without a backend server's answer.
+// The HTTP status for a verdict without an answer from a backend server.
 unsigned statusOf(const verdict&);
 
 }
--- a/Source/caller/context_text.cpp
+++ b/Source/caller/context_text.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-    // The form is version, request id, run id, tokens, may have run, attempt;
-    // all but the id in hexadecimal.
+    // The format is version, request id, run id, tokens, may have run, attempt, separated by '.'; the
+    // numbers are in hexadecimal.
     constexpr const char* version = "1";
     constexpr std::size_t fieldCount = 6;
-    constexpr std::size_t longestId = 64;
+    constexpr std::size_t maxIdLength = 64;
 
     std::vector<std::string> split(const std::string& text)
     {
@@ -31,15 +31,15 @@
     bool readHex(const std::string& text, Integer& value)
     {
         const char* end = text.data() + text.size();
-        auto parsed = std::from_chars(text.data(), end, value, 16);
-        return !text.empty() && parsed.ec == std::errc {} && parsed.ptr == end;
+        auto result = std::from_chars(text.data(), end, value, 16);
+        return !text.empty() && result.ec == std::errc {} && result.ptr == end;
     }
 
 }
 
 bool isRequestId(const std::string& text)
 {
-    return !text.empty() && text.size() <= longestId && std::all_of(text.begin(), text.end(), [](unsigned char c) {
+    return !text.empty() && text.size() <= maxIdLength && std::all_of(text.begin(), text.end(), [](unsigned char c) {
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
     });
 }
@@ -61,8 +61,8 @@
     context_text value;
     value.requestId = fields[1];
     value.mayHaveRun = fields[4] == "1";
-    bool flagKnown = value.mayHaveRun || fields[4] == "0";
-    if (!flagKnown || !isRequestId(value.requestId) || !readHex(fields[2], value.runId)
+    bool isFlagValid = value.mayHaveRun || fields[4] == "0";
+    if (!isFlagValid || !isRequestId(value.requestId) || !readHex(fields[2], value.runId)
         || !readHex(fields[3], value.retryTokens) || !readHex(fields[5], value.attempt)) {
         return std::nullopt;
     }
--- a/Source/caller/context_text.h
+++ b/Source/caller/context_text.h
@@ -8,24 +8,23 @@
 
 namespace vanillashunt {
 
-// What the opaque context field carries. Nothing in it is believed that a
-// caller could gain by: importance and time come from the contract or from the
-// run that it names, and tokens only ever go down.
+// Content of the opaque context field. A caller gains nothing by forging it: importance and deadline
+// come from the contract or from the run that it names, and tokens can only decrease.
 struct context_text {
     std::string requestId;
-    // The run that an onward call is part of; 0 outside of one.
+    // The run that an onward call is part of; 0 if it is not an onward call.
     std::uint64_t runId = 0;
-    // Retry tokens that the caller brings back.
+    // Remaining retry tokens.
     std::uint32_t retryTokens = 0;
-    // Whether this or an earlier try of the caller may have run.
+    // Whether this or an earlier attempt of the caller may have run.
     bool mayHaveRun = false;
-    // The caller's try that this context was the answer to; 0 where it did not count.
+    // The caller's attempt whose response carried this context; 0 if the caller does not count them.
     std::uint32_t attempt = 0;
 };
 
 std::string toString(const context_text&);
 
-// Returns nothing for a text that toString cannot have made.
+// Returns nothing for a text that toString() cannot have produced.
 std::optional<context_text> parseContextText(const std::string& text);
 
 // Whether a text may be used as a request id: 1 to 64 of a-z, A-Z, 0-9, '-' and '_'.
--- a/Source/caller/pipeline_server.cpp
+++ b/Source/caller/pipeline_server.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-    // Ending one session may end others; each is kept alive while it is looked at.
+    // Closing one session may close others, so all are kept alive during the iteration.
     std::vector<std::shared_ptr<pipeline_session>> sessionsOf(const pipeline_server::state& server)
     {
         std::vector<std::shared_ptr<pipeline_session>> result;
-        for (auto* each : server.sessions) {
-            if (auto session = each->weak_from_this().lock()) {
+        for (auto* candidate : server.sessions) {
+            if (auto session = candidate->weak_from_this().lock()) {
                 result.push_back(std::move(session));
             }
         }
@@ -27,8 +27,8 @@
 {
     std::weak_ptr<state> server = m_state;
     m_state->acceptor = std::make_unique<connection_acceptor>(context, listenAddress, [server](asio::ip::tcp::socket socket) {
-        if (auto known = server.lock()) {
-            std::make_shared<pipeline_session>(std::move(socket), known)->start();
+        if (auto lockedServer = server.lock()) {
+            std::make_shared<pipeline_session>(std::move(socket), lockedServer)->start();
         }
     });
 }
--- a/Source/caller/pipeline_server.h
+++ b/Source/caller/pipeline_server.h
@@ -14,13 +14,13 @@
 namespace vanillashunt {
 
 struct pipeline_server_hooks {
-    // What clients may send now; asked for each request.
+    // Returns the current limits for clients; called for each request.
     std::function<client_limits()> limits;
-    // Takes each whole request; the fields include Host. It is answered once.
+    // Handles each complete request; its fields include Host. The exchange is answered once.
     http_handler request;
 };
 
-// Connections that the server ended, and requests that it refused itself, since the start.
+// Connections accepted, and requests that the server rejected itself, since its start.
 struct pipeline_server_counts {
     std::uint64_t connections = 0;
     std::uint64_t malformed = 0;
@@ -28,27 +28,27 @@
     std::uint64_t tooSlow = 0;
 };
 
-// Serves HTTP/1.1 to clients that may send further requests before the first is
-// answered: works on them at once, and answers in the order in which they came.
+// Serves HTTP/1.1 with pipelining: the requests of one connection are processed concurrently and
+// answered in the order in which they arrived.
 class pipeline_server {
 public:
     // Throws boost::system::system_error if the address cannot be bound.
     pipeline_server(boost::asio::io_context&, const std::string& listenAddress, pipeline_server_hooks);
     ~pipeline_server();
 
-    // Where it listens: "IP:port".
+    // The address that it listens on: "IP:port".
     std::string address() const;
 
-    // Ends connections whose client takes too long; to be called several times a second.
+    // Closes connections whose client exceeds a time limit; must be called several times a second.
     void enforceTimeouts(std::chrono::steady_clock::time_point now);
 
-    // Closes each connection after its last answer, so that clients go elsewhere.
+    // Closes each connection after its last pending answer, so that clients connect to other nodes.
     void closeAfterAnswers();
 
-    // Accepts no further connection, and closes idle ones.
+    // Accepts no further connections and closes idle ones.
     void stopAccepting();
 
-    // Requests that are being answered, or whose answer is being sent.
+    // Number of requests that are being processed or whose answers are being sent.
     std::size_t inProgress() const;
 
     const pipeline_server_counts& counts() const;
--- a/Source/caller/pipeline_session.cpp
+++ b/Source/caller/pipeline_session.cpp
@@ -19,23 +19,24 @@
     constexpr unsigned statusNoContent = 204;
     constexpr unsigned statusNotModified = 304;
 
-    // Requests of one connection that are worked on at once; the others wait in the socket.
-    constexpr std::size_t mostExchanges = 32;
+    // Maximum number of requests of one connection that are processed concurrently; further ones stay in
+    // the socket buffer.
+    constexpr std::size_t maxExchanges = 32;
 
-    // What is read of requests that are not taken; more waits in the socket.
-    constexpr std::size_t mostUntakenBytes = 65536;
+    // Maximum number of bytes that are read ahead while no request is accepted; more stay in the socket
+    // buffer.
+    constexpr std::size_t maxReadAheadBytes = 65536;
 
-    // How long a client may leave an answer unread, and its end of the connection open.
-    constexpr std::chrono::milliseconds longestUnread { 10000 };
-    constexpr std::chrono::milliseconds longestLeaving { 2000 };
+    // How long a client may take to read an answer, and to close its side of the connection.
+    constexpr std::chrono::milliseconds sendTimeout { 10000 };
+    constexpr std::chrono::milliseconds lingerTimeout { 2000 };
 
-    // Drops what the Connection field declares to be of this connection only; a Host it
-    // cannot take away.
-    void removeNamed(http_fields& fields, const std::string& connectionField)
+    // Removes the fields that the Connection field declares as hop-by-hop, except for Host.
+    void removeHopByHop(http_fields& fields, const std::string& connectionField)
     {
         for (const auto& token : http::token_list { connectionField }) {
             auto name = std::string(token);
-            auto isNamed = [&name](const http_field& each) { return equalIgnoringCase(each.name, name) && !equalIgnoringCase(name, "Host"); };
+            auto isNamed = [&name](const http_field& field) { return equalIgnoringCase(field.name, name) && !equalIgnoringCase(name, "Host"); };
             fields.erase(std::remove_if(fields.begin(), fields.end(), isNamed), fields.end());
         }
     }
@@ -44,9 +45,9 @@
 
 class pipeline_session::exchange : public http_exchange {
 public:
-    exchange(const std::shared_ptr<pipeline_session>& session, bool keepAlive, bool isHead)
+    exchange(const std::shared_ptr<pipeline_session>& session, bool keepAlive, bool headRequest)
         : closes(!keepAlive)
-        , withoutBody(isHead)
+        , isHeadRequest(headRequest)
         , m_session(session)
     {
     }
@@ -77,7 +78,7 @@
     http_response response;
     bool answered = false;
     bool closes;
-    bool withoutBody;
+    bool isHeadRequest;
 
 private:
     std::weak_ptr<pipeline_session> m_session;
@@ -109,10 +110,10 @@
     m_stageEntered = std::chrono::steady_clock::now();
 }
 
-std::chrono::milliseconds pipeline_session::longest(stage which) const
+std::chrono::milliseconds pipeline_session::timeLimit(stage currentStage) const
 {
     auto limits = m_server->hooks.limits();
-    switch (which) {
+    switch (currentStage) {
     case stage::Idle:
         return limits.idleTimeout;
     case stage::Header:
@@ -121,23 +122,23 @@
         return limits.idleTimeout;
     case stage::Answering:
         return std::chrono::milliseconds::max();
-    case stage::Reading:
-        return longestUnread;
-    case stage::Leaving:
+    case stage::Sending:
+        return sendTimeout;
+    case stage::Lingering:
         break;
     }
-    return longestLeaving;
+    return lingerTimeout;
 }
 
 void pipeline_session::enforceTimeouts(time_point now)
 {
-    auto bound = longest(m_stage);
-    if (bound == std::chrono::milliseconds::max() || now - m_stageEntered < bound) {
+    auto limit = timeLimit(m_stage);
+    if (limit == std::chrono::milliseconds::max() || now - m_stageEntered < limit) {
         return;
     }
     if (m_stage == stage::Header || m_stage == stage::Body) {
         ++m_server->counts.tooSlow;
-        refuse(statusRequestTimeout, "the request did not arrive in time");
+        reject(statusRequestTimeout, "the request did not arrive in time");
         return;
     }
     clientGone();
@@ -145,8 +146,8 @@
 
 void pipeline_session::read()
 {
-    bool full = m_exchanges.size() >= mostExchanges || (!mayTakeRequest() && m_stream.received().size() >= mostUntakenBytes);
-    if (m_reading || m_closed || full) {
+    bool isFull = m_exchanges.size() >= maxExchanges || (!canAcceptRequest() && m_stream.received().size() >= maxReadAheadBytes);
+    if (m_reading || m_closed || isFull) {
         return;
     }
     m_reading = true;
@@ -169,12 +170,12 @@
     read();
 }
 
-// While the server stops, nothing is taken behind an unanswered request: its answer could come
-// only after that one's, which may be later than the end of the stop. The client sends it
-// again elsewhere.
-bool pipeline_session::mayTakeRequest() const
+// While the server stops, no request is accepted after an unanswered one. Its answer would have to wait
+// for the answer to the earlier request, which may come after the stop has ended. The client retries it
+// on another node.
+bool pipeline_session::canAcceptRequest() const
 {
-    if (m_closed || m_closing || m_exchanges.size() >= mostExchanges) {
+    if (m_closed || m_closing || m_exchanges.size() >= maxExchanges) {
         return false;
     }
     return !m_server->closingAfterAnswers || m_exchanges.empty();
@@ -182,18 +183,18 @@
 
 void pipeline_session::parse()
 {
-    while (mayTakeRequest() && m_stream.received().size() > 0) {
+    while (canAcceptRequest() && m_stream.received().size() > 0) {
         if (!parseOne()) {
             break;
         }
     }
     if (m_closing) {
-        // What came behind the last request that is answered counts as not read.
+        // Bytes after the last accepted request are discarded.
         m_stream.received().consume(m_stream.received().size());
     }
 }
 
-// Returns whether a whole request was taken.
+// Returns whether a complete request was parsed.
 bool pipeline_session::parseOne()
 {
     if (!m_parser) {
@@ -207,16 +208,16 @@
             break;
         }
         if (error) {
-            refuseUnreadable(error);
+            rejectUnparsable(error);
             return false;
         }
     }
     if (m_parser->is_done()) {
-        requestArrived();
+        requestComplete();
         return true;
     }
     if (m_parser->is_header_done()) {
-        // The bound of a body is on the time in which nothing of it comes.
+        // The time limit of a body restarts whenever a part of it arrives.
         enter(stage::Body);
     }
     return false;
@@ -232,17 +233,17 @@
     enter(stage::Header);
 }
 
-void pipeline_session::requestArrived()
+void pipeline_session::requestComplete()
 {
-    bool readable = m_parser->framedPlainly && m_parser->hosts == 1;
-    if (!readable) {
+    bool isUnambiguous = m_parser->framedPlainly && m_parser->hosts == 1;
+    if (!isUnambiguous) {
         ++m_server->counts.malformed;
-        refuse(statusBadRequest, "the request needs one Host and a body of known length or in chunks");
+        reject(statusBadRequest, "the request must have exactly one Host field, and its body a known length or chunked encoding");
         return;
     }
     http_request request { std::move(m_parser->method), std::move(m_parser->target), std::move(m_parser->fields), std::move(m_parser->body) };
     if (!m_parser->connection.empty()) {
-        removeNamed(request.fields, m_parser->connection);
+        removeHopByHop(request.fields, m_parser->connection);
     }
     auto next = std::make_shared<exchange>(shared_from_this(), m_parser->keep_alive(), request.method == "HEAD");
     m_parser.reset();
@@ -252,33 +253,33 @@
     m_server->hooks.request(std::move(request), next);
 }
 
-void pipeline_session::refuseUnreadable(const error_code& error)
+void pipeline_session::rejectUnparsable(const error_code& error)
 {
     if (error == http::error::header_limit) {
         ++m_server->counts.tooLarge;
-        refuse(statusHeaderTooLarge, "the header is over the bound of the configuration");
+        reject(statusHeaderTooLarge, "the header exceeds the size limit of the configuration");
     } else if (error == http::error::body_limit) {
         ++m_server->counts.tooLarge;
-        refuse(statusTooLarge, "the body is over the bound of the configuration");
+        reject(statusTooLarge, "the body exceeds the size limit of the configuration");
     } else {
         ++m_server->counts.malformed;
-        refuse(statusBadRequest, "the request cannot be read: " + error.message());
+        reject(statusBadRequest, "the request cannot be parsed: " + error.message());
     }
 }
 
-// Answers, in its turn, a request that was not taken; nothing behind it is read.
-void pipeline_session::refuse(unsigned status, const std::string& reason)
+// Answers a request that was not accepted, after all earlier ones. No further request is parsed.
+void pipeline_session::reject(unsigned status, const std::string& reason)
 {
     m_parser.reset();
     m_closing = true;
-    auto last = std::make_shared<exchange>(shared_from_this(), false, false);
-    m_exchanges.push_back(last);
-    last->respond({ status, { { "Content-Type", "text/plain" } }, reason + "\n" });
+    auto rejected = std::make_shared<exchange>(shared_from_this(), false, false);
+    m_exchanges.push_back(rejected);
+    rejected->respond({ status, { { "Content-Type", "text/plain" } }, reason + "\n" });
 }
 
-std::string pipeline_session::answerText(const exchange& each, bool closes) const
+std::string pipeline_session::formatAnswer(const exchange& answeredExchange, bool closes) const
 {
-    const auto& response = each.response;
+    const auto& response = answeredExchange.response;
     std::string text = "HTTP/1.1 " + std::to_string(response.status) + ' ';
     text += std::string(http::obsolete_reason(http::int_to_status(response.status))) + "\r\n";
     for (const auto& field : response.fields) {
@@ -294,7 +295,7 @@
         text += "Connection: close\r\n";
     }
     text += "\r\n";
-    if (!hasNoBody && !each.withoutBody) {
+    if (!hasNoBody && !answeredExchange.isHeadRequest) {
         text += response.body;
     }
     return text;
@@ -306,24 +307,24 @@
         return;
     }
     while (!m_exchanges.empty() && m_exchanges.front()->answered) {
-        auto each = m_exchanges.front();
+        auto next = m_exchanges.front();
         m_exchanges.pop_front();
-        bool closes = each->closes || (m_server->closingAfterAnswers && m_exchanges.empty());
+        bool closes = next->closes || (m_server->closingAfterAnswers && m_exchanges.empty());
         m_closing = m_closing || closes;
-        m_outgoing += answerText(*each, closes);
+        m_outgoingBytes += formatAnswer(*next, closes);
     }
-    if (m_outgoing.empty()) {
+    if (m_outgoingBytes.empty()) {
         return;
     }
     m_writing = true;
     if (m_exchanges.empty()) {
-        enter(stage::Reading);
+        enter(stage::Sending);
     }
-    bool whole = m_stream.send(asio::buffer(m_outgoing), [self = shared_from_this()](const error_code& error, std::size_t) {
+    bool completed = m_stream.send(asio::buffer(m_outgoingBytes), [self = shared_from_this()](const error_code& error, std::size_t) {
         self->m_writing = false;
         self->written(error);
     });
-    if (whole) {
+    if (completed) {
         m_writing = false;
         written({});
     }
@@ -331,7 +332,7 @@
 
 void pipeline_session::written(const error_code& error)
 {
-    m_outgoing = {};
+    m_outgoingBytes = {};
     if (m_closed) {
         return;
     }
@@ -344,7 +345,7 @@
         return;
     }
     if (m_closing && m_exchanges.empty()) {
-        leave();
+        closeGracefully();
         return;
     }
     enterNextStage();
@@ -363,13 +364,13 @@
     }
 }
 
-// Ends the own side first: bytes that are still unread would reset the
-// connection, and the last answer with it.
-void pipeline_session::leave()
+// Shuts down the sending side first. Closing the socket while it has unread bytes would reset the
+// connection, and the client could lose the last answer.
+void pipeline_session::closeGracefully()
 {
     error_code ignored;
     m_stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
-    enter(stage::Leaving);
+    enter(stage::Lingering);
     read();
 }
 
@@ -377,9 +378,9 @@
 {
     close();
     auto exchanges = std::exchange(m_exchanges, {});
-    for (const auto& each : exchanges) {
-        if (!each->answered) {
-            each->clientGone();
+    for (const auto& pending : exchanges) {
+        if (!pending->answered) {
+            pending->clientGone();
         }
     }
 }
--- a/Source/caller/pipeline_session.h
+++ b/Source/caller/pipeline_session.h
@@ -29,7 +29,7 @@
     bool closingAfterAnswers = false;
 };
 
-// One connection of a client.
+// One client connection.
 class pipeline_session : public std::enable_shared_from_this<pipeline_session> {
 public:
     using time_point = std::chrono::steady_clock::time_point;
@@ -40,7 +40,7 @@
     void start();
     void enforceTimeouts(time_point now);
     void closeIfIdle();
-    // Sends the answers whose turn has come.
+    // Sends the available answers, in the order of their requests.
     void flush();
     std::size_t inProgress() const { return m_exchanges.size() + (m_writing ? 1 : 0); }
 
@@ -48,45 +48,45 @@
     class exchange;
     using parser = message_parser<true>;
 
-    // What the client is to do next, within a bound of time.
+    // What the session waits for; each stage but Answering has a time limit.
     enum class stage {
-        Idle, // Send a request.
-        Header, // Send the rest of a header.
-        Body, // Send the rest of a body.
-        Answering, // Wait for answers; it is not late.
-        Reading, // Take an answer.
-        Leaving, // Close, after the last answer.
+        Idle, // The first byte of a request.
+        Header, // The rest of a header.
+        Body, // The rest of a body.
+        Answering, // Answers from the server; the client has no time limit.
+        Sending, // The client to read an answer.
+        Lingering, // The client to close the connection after the last answer.
     };
 
     void read();
     void bytesArrived(const boost::system::error_code&);
-    bool mayTakeRequest() const;
+    bool canAcceptRequest() const;
     void parse();
     bool parseOne();
     void beginParser();
-    void requestArrived();
-    void refuse(unsigned status, const std::string& reason);
-    void refuseUnreadable(const boost::system::error_code&);
+    void requestComplete();
+    void reject(unsigned status, const std::string& reason);
+    void rejectUnparsable(const boost::system::error_code&);
     void answerWith(http_response, bool closes);
-    std::string answerText(const exchange&, bool closes) const;
+    std::string formatAnswer(const exchange&, bool closes) const;
     void written(const boost::system::error_code&);
-    void leave();
+    void closeGracefully();
     void clientGone();
     void close();
     void enter(stage);
     void enterNextStage();
-    std::chrono::milliseconds longest(stage) const;
+    std::chrono::milliseconds timeLimit(stage) const;
 
     socket_stream m_stream;
     std::shared_ptr<pipeline_server::state> m_server;
     std::optional<parser> m_parser;
     std::deque<std::shared_ptr<exchange>> m_exchanges;
-    std::string m_outgoing;
+    std::string m_outgoingBytes;
     stage m_stage = stage::Idle;
     time_point m_stageEntered;
     bool m_reading = false;
     bool m_writing = false;
-    // No further request is taken from this connection.
+    // Whether no further request is accepted on this connection.
     bool m_closing = false;
     bool m_closed = false;
 };
--- a/Tests/PipelinedClients/pipelined_clients_test.cpp
+++ b/Tests/PipelinedClients/pipelined_clients_test.cpp
@@ -16,25 +16,25 @@
         std::shared_ptr<http_exchange> exchange;
     };
 
-    // A server whose requests the test answers when it likes.
-    class edge {
+    // A server whose requests are answered when the test asks for it.
+    class server_harness {
     public:
-        edge()
+        server_harness()
         {
             pipeline_server_hooks hooks;
             hooks.limits = [this] { return limits; };
-            hooks.request = [this](http_request request, const std::shared_ptr<http_exchange>& exchange) { note(std::move(request), exchange); };
+            hooks.request = [this](http_request request, const std::shared_ptr<http_exchange>& exchange) { addRequest(std::move(request), exchange); };
             m_server = std::make_unique<pipeline_server>(m_loop.context, "127.0.0.1:0", hooks);
         }
 
-        ~edge()
+        ~server_harness()
         {
             onLoop([this] { m_server.reset(); });
         }
 
         raw_socket connect() const { return raw_socket::connectTo(m_server->address()); }
 
-        // Waits for the request of that number, from 0.
+        // Waits for the request with this number, counted from 0, and returns it.
         http_request request(std::size_t number)
         {
             std::unique_lock<std::mutex> lock(m_mutex);
@@ -42,7 +42,7 @@
             return m_arrived[number].request;
         }
 
-        std::size_t requests()
+        std::size_t requestCount()
         {
             std::lock_guard<std::mutex> lock(m_mutex);
             return m_arrived.size();
@@ -54,15 +54,15 @@
             onLoop([this, number, body, status] { m_arrived[number].exchange->respond({ status, { { "X-Number", std::to_string(number) } }, body }); });
         }
 
-        void waitForGone(std::size_t count)
+        void waitForClientGone(std::size_t count)
         {
             std::unique_lock<std::mutex> lock(m_mutex);
-            m_changed.wait(lock, [&] { return m_gone >= count; });
+            m_changed.wait(lock, [&] { return m_clientsGone >= count; });
         }
 
-        void enforceTimeouts(std::chrono::milliseconds later)
+        void enforceTimeouts(std::chrono::milliseconds elapsed)
         {
-            onLoop([this, later] { m_server->enforceTimeouts(std::chrono::steady_clock::now() + later); });
+            onLoop([this, elapsed] { m_server->enforceTimeouts(std::chrono::steady_clock::now() + elapsed); });
         }
 
         void closeAfterAnswers()
@@ -73,11 +73,11 @@
         client_limits limits;
 
     private:
-        void note(http_request request, const std::shared_ptr<http_exchange>& exchange)
+        void addRequest(http_request request, const std::shared_ptr<http_exchange>& exchange)
         {
             exchange->whenClientGone([this] {
                 std::lock_guard<std::mutex> lock(m_mutex);
-                ++m_gone;
+                ++m_clientsGone;
                 m_changed.notify_all();
             });
             std::lock_guard<std::mutex> lock(m_mutex);
@@ -85,12 +85,12 @@
             m_changed.notify_all();
         }
 
-        void onLoop(const std::function<void()>& work) { m_loop.runAndWait(work); }
+        void onLoop(const std::function<void()>& task) { m_loop.runAndWait(task); }
 
         std::mutex m_mutex;
         std::condition_variable m_changed;
         std::vector<arrived_request> m_arrived;
-        std::size_t m_gone = 0;
+        std::size_t m_clientsGone = 0;
         context_thread m_loop;
         std::unique_ptr<pipeline_server> m_server;
     };
@@ -104,7 +104,7 @@
 
 TEST(PipelinedClients, AreAnsweredInTheOrderOfTheirRequests)
 {
-    edge server;
+    server_harness server;
     auto client = server.connect();
     client.send(get("/0") + get("/1") + get("/2"));
     server.answer(2, "third");
@@ -117,7 +117,7 @@
 
 TEST(PipelinedClients, MaySendBodiesInChunksAndInPieces)
 {
-    edge server;
+    server_harness server;
     auto client = server.connect();
     client.send("POST /x HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab");
     client.send("c\r\n2\r\nde\r\n0\r\n\r\n" + get("/next"));
@@ -127,17 +127,17 @@
     EXPECT_EQ(fieldValue(server.request(0).fields, "Host"), "a.example");
 }
 
-TEST(PipelinedClients, KeepTheirConnectionsOwnFieldsToThemselves)
+TEST(PipelinedClients, HaveTheirHopByHopFieldsRemoved)
 {
-    edge server;
+    server_harness server;
     auto client = server.connect();
     client.send("GET /x HTTP/1.1\r\nHost: a.example\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nX-End: 2\r\n\r\n");
     EXPECT_EQ(fieldValue(server.request(0).fields, "X-Hop"), "");
     EXPECT_EQ(fieldValue(server.request(0).fields, "X-End"), "2");
 }
 
-// Each of these has two readings, or none: it reaches nobody, and neither does what
-// stands behind it.
+// Each of these requests is ambiguous or malformed. Neither it nor the bytes after it may be handled as a
+// request.
 TEST(PipelinedClients, CannotSmuggleARequestInAnother)
 {
     const std::string hidden = get("/hidden");
@@ -154,26 +154,26 @@
         "GET /x HTTP/1.1\nHost: a.example\n\n",
     };
     for (const auto& head : heads) {
-        edge server;
+        server_harness server;
         auto client = server.connect();
         client.send(head + hidden);
         auto answer = client.readToEnd();
         EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 400") << head;
-        EXPECT_EQ(server.requests(), 0U) << head;
+        EXPECT_EQ(server.requestCount(), 0U) << head;
     }
 }
 
-TEST(PipelinedClients, AreToldWhichBoundTheyAreOver)
+TEST(PipelinedClients, AreToldWhichLimitTheyExceed)
 {
-    edge server;
+    server_harness server;
     server.limits.maxHeaderBytes = 200;
     server.limits.maxBodyBytes = 10;
-    auto large = server.connect();
-    large.send("POST /x HTTP/1.1\r\nHost: a.example\r\nContent-Length: 11\r\n\r\n");
-    EXPECT_EQ(large.readToEnd().substr(0, 12), "HTTP/1.1 413");
-    auto wordy = server.connect();
-    wordy.send("GET /x HTTP/1.1\r\nHost: a.example\r\nX: " + std::string(400, 'x') + "\r\n\r\n");
-    EXPECT_EQ(wordy.readToEnd().substr(0, 12), "HTTP/1.1 431");
+    auto largeBody = server.connect();
+    largeBody.send("POST /x HTTP/1.1\r\nHost: a.example\r\nContent-Length: 11\r\n\r\n");
+    EXPECT_EQ(largeBody.readToEnd().substr(0, 12), "HTTP/1.1 413");
+    auto largeHeader = server.connect();
+    largeHeader.send("GET /x HTTP/1.1\r\nHost: a.example\r\nX: " + std::string(400, 'x') + "\r\n\r\n");
+    EXPECT_EQ(largeHeader.readToEnd().substr(0, 12), "HTTP/1.1 431");
     auto slow = server.connect();
     slow.send("GET /x HTTP/1.1\r\nHost:");
     auto other = server.connect();
@@ -183,19 +183,19 @@
     EXPECT_EQ(slow.readToEnd().substr(0, 12), "HTTP/1.1 408");
 }
 
-TEST(PipelinedClients, CancelEverythingByLeaving)
+TEST(PipelinedClients, CancelAllRequestsByClosingTheConnection)
 {
-    edge server;
+    server_harness server;
     auto client = server.connect();
     client.send(get("/0") + get("/1"));
     server.request(1);
     client.close();
-    server.waitForGone(2);
+    server.waitForClientGone(2);
 }
 
-TEST(PipelinedClients, AreSentAwayAfterTheirLastAnswer)
+TEST(PipelinedClients, AreDisconnectedAfterTheirLastAnswer)
 {
-    edge server;
+    server_harness server;
     auto client = server.connect();
     client.send(get("/0") + get("/1"));
     server.request(1);
@@ -206,17 +206,17 @@
     EXPECT_NE(client.readToEnd().find("Connection: close"), std::string::npos);
 }
 
-// A node that stops while the first of several requests of one connection is unanswered: the
-// later ones' answers could not be sent before its answer, which may take longer than the stop.
-TEST(PipelinedClients, AreNotTakenBehindAnUnansweredRequestDuringAStop)
+// A node stops while the first of several requests of one connection is unanswered. The answers to later
+// requests could not be sent before that answer, which may take longer than the stop.
+TEST(PipelinedClients, GetNoRequestAcceptedAfterAnUnansweredOneDuringAStop)
 {
-    edge server;
+    server_harness server;
     auto client = server.connect();
     client.send(get("/0"));
     server.request(0);
     server.closeAfterAnswers();
     client.send(get("/1"));
-    // Another connection shows that the server has had the time to read it.
+    // An answer on another connection shows that the server has had time to read the request.
     auto other = server.connect();
     other.send(get("/2"));
     ASSERT_EQ(server.request(1).target, "/2");
@@ -225,40 +225,40 @@
     server.answer(0, "first");
     EXPECT_NE(client.readUntil("first").find("Connection: close"), std::string::npos);
     EXPECT_EQ(client.readToEnd(), "");
-    EXPECT_EQ(server.requests(), 2U);
+    EXPECT_EQ(server.requestCount(), 2U);
 }
 
 TEST(PipelinedClients, MayAskThatTheConnectionBeClosed)
 {
-    edge server;
+    server_harness server;
     auto client = server.connect();
     client.send("GET /0 HTTP/1.1\r\nHost: a.example\r\nConnection: close\r\n\r\n" + get("/1"));
     server.answer(0, "only");
     EXPECT_NE(client.readToEnd().find("only"), std::string::npos);
-    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_EQ(server.requestCount(), 1U);
 }
 
-// Whatever comes, the server goes on serving.
-TEST(PipelinedClients, CannotHarmTheServerByGarbage)
+// The server keeps serving after corrupted requests.
+TEST(PipelinedClients, CannotDisruptTheServerWithCorruptedRequests)
 {
     std::mt19937 random(13);
-    edge server;
+    server_harness server;
     for (int i = 0; i < 60; ++i) {
         auto client = server.connect();
         auto bytes = get("/x") + get("/y");
-        for (int flips = 0; flips < 3; ++flips) {
+        for (int corruption = 0; corruption < 3; ++corruption) {
             bytes[random() % bytes.size()] = static_cast<char>(random());
         }
         client.send(bytes);
         client.close();
     }
-    auto before = server.requests();
+    auto number = server.requestCount();
     auto client = server.connect();
     client.send(get("/sound"));
-    while (server.request(before).target != "/sound") {
-        ++before;
+    while (server.request(number).target != "/sound") {
+        ++number;
     }
-    server.answer(before, "sound");
+    server.answer(number, "sound");
     EXPECT_NE(client.readUntil("sound").find("HTTP/1.1 200"), std::string::npos);
 }
 
