--- a/Source/backend/backend_announcement.cpp
+++ b/Source/backend/backend_announcement.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-    constexpr std::uint32_t largestSlots = 100000;
-    constexpr std::uint32_t largestColdStartMilliseconds = 600000;
+    constexpr std::uint32_t maxSlots = 100000;
+    constexpr std::uint32_t maxColdStartMilliseconds = 600000;
 
-    bool readCount(const Json::Value& value, std::uint32_t largest, std::uint32_t& into)
+    bool readCount(const Json::Value& value, std::uint32_t maxValue, std::uint32_t& result)
     {
         if (value.isNull()) {
             return true;
         }
-        if (!value.isUInt() || value.asUInt() > largest) {
+        if (!value.isUInt() || value.asUInt() > maxValue) {
             return false;
         }
-        into = value.asUInt();
+        result = value.asUInt();
         return true;
     }
 
@@ -27,9 +27,9 @@
         return value.isString() ? value.asString() : std::string();
     }
 
-    announcement_problem problem(const std::string& key, const std::string& mend)
+    announcement_problem invalidMember(const std::string& key, const std::string& message)
     {
-        return { "announcement of a backend server: \"" + key + "\" " + mend };
+        return { "announcement of a backend server: \"" + key + "\" " + message };
     }
 
 }
@@ -43,21 +43,21 @@
     backend_announcement result;
     result.service = readText(value["service"]);
     if (result.service.empty()) {
-        return problem("service", "is missing; name the service that it serves");
+        return invalidMember("service", "is missing; name the service that it serves");
     }
     result.address = readText(value["address"]);
     if (!parseEndpoint(result.address)) {
-        return problem("address", "is not \"IP:port\"; give the address where it serves");
+        return invalidMember("address", "must be the \"IP:port\" address on which it serves");
     }
-    if (!readCount(value["slots"], largestSlots, result.slots) || result.slots == 0) {
-        return problem("slots", "must be a whole number from 1 to " + std::to_string(largestSlots));
+    if (!readCount(value["slots"], maxSlots, result.slots) || result.slots == 0) {
+        return invalidMember("slots", "must be an integer from 1 to " + std::to_string(maxSlots));
     }
-    if (!readCount(value["connections"], largestSlots, result.connections)) {
-        return problem("connections", "must be a whole number up to " + std::to_string(largestSlots));
+    if (!readCount(value["connections"], maxSlots, result.connections)) {
+        return invalidMember("connections", "must be an integer from 0 to " + std::to_string(maxSlots));
     }
     std::uint32_t coldStart = 0;
-    if (!readCount(value["cold_start_ms"], largestColdStartMilliseconds, coldStart)) {
-        return problem("cold_start_ms", "must be a whole number up to " + std::to_string(largestColdStartMilliseconds));
+    if (!readCount(value["cold_start_ms"], maxColdStartMilliseconds, coldStart)) {
+        return invalidMember("cold_start_ms", "must be an integer from 0 to " + std::to_string(maxColdStartMilliseconds));
     }
     result.coldStart = std::chrono::milliseconds(coldStart);
     result.loadPath = readText(value["load_path"]);
--- a/Source/backend/backend_client.cpp
+++ b/Source/backend/backend_client.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-    constexpr unsigned statusUnavailable = 503;
+    constexpr unsigned statusServiceUnavailable = 503;
 
-    bool isOwnField(const std::string& name)
+    bool isVanillashuntField(const std::string& name)
     {
         constexpr const char* prefix = "Vanillashunt-";
         return equalIgnoringCase(name.substr(0, std::char_traits<char>::length(prefix)), prefix);
@@ -22,7 +22,7 @@
         request.method = call.method;
         request.target = call.path;
         for (const auto& field : call.fields) {
-            if (!isOwnField(field.name)) {
+            if (!isVanillashuntField(field.name)) {
                 request.fields.push_back(field);
             }
         }
@@ -46,7 +46,7 @@
     call_answer readResponse(http_response response)
     {
         call_answer answer;
-        bool refused = response.status == statusUnavailable
+        bool refused = response.status == statusServiceUnavailable
             && parseExecution(fieldValue(response.fields, header::verdict)) == execution::NotRun;
         if (refused) {
             answer.outcome = verdict::notRun(verdict_reason::BackendRefused);
@@ -55,7 +55,7 @@
         answer.outcome = verdict::answered();
         answer.status = response.status;
         for (auto& field : response.fields) {
-            if (!isOwnField(field.name)) {
+            if (!isVanillashuntField(field.name)) {
                 answer.fields.push_back(std::move(field));
             }
         }
--- a/Source/backend/backend_health_monitor.cpp
+++ b/Source/backend/backend_health_monitor.cpp
@@ -8,27 +8,27 @@
     constexpr std::chrono::milliseconds probeTimeout { 1000 };
     constexpr unsigned statusOk = 200;
 
-    probe_result readProbe(const http_result& result)
+    probe_result toProbeResult(const http_result& result)
     {
         if (const auto* failure = std::get_if<http_failure>(&result)) {
-            return failure->sent || failure->timedOut ? probe_result::Unwell : probe_result::Unreachable;
+            return failure->sent || failure->timedOut ? probe_result::Unhealthy : probe_result::Unreachable;
         }
-        return std::get<http_response>(result).status == statusOk ? probe_result::Well : probe_result::Unwell;
+        return std::get<http_response>(result).status == statusOk ? probe_result::Healthy : probe_result::Unhealthy;
     }
 
 }
 
-backend_health_monitor::backend_health_monitor(boost::asio::io_context& context, backend_client& client, offered_hook offeredChanged)
+backend_health_monitor::backend_health_monitor(boost::asio::io_context& context, backend_client& client, health_change_handler healthChanged)
     : m_client(client)
-    , m_offeredChanged(std::move(offeredChanged))
+    , m_healthChanged(std::move(healthChanged))
     , m_timer(context)
 {
 }
 
 void backend_health_monitor::setBackend(const std::optional<backend_announcement>& announcement)
 {
-    bool same = announcement && m_backend && announcement->address == m_backend->address && announcement->healthPath == m_backend->healthPath;
-    if (same) {
+    bool unchanged = announcement && m_backend && announcement->address == m_backend->address && announcement->healthPath == m_backend->healthPath;
+    if (unchanged) {
         return;
     }
     m_backend = announcement;
@@ -66,10 +66,10 @@
 
 void backend_health_monitor::probed(const http_result& result)
 {
-    bool before = m_health.isHealthy();
-    m_health.probed(readProbe(result), std::chrono::steady_clock::now());
-    if (m_health.isHealthy() != before) {
-        m_offeredChanged(m_health.isHealthy());
+    bool wasHealthy = m_health.isHealthy();
+    m_health.probed(toProbeResult(result), std::chrono::steady_clock::now());
+    if (m_health.isHealthy() != wasHealthy) {
+        m_healthChanged(m_health.isHealthy());
     }
     schedule();
 }
--- a/Source/backend/backend_health_monitor.h
+++ b/Source/backend/backend_health_monitor.h
@@ -12,19 +12,19 @@
 
 namespace vanillashunt {
 
-// Probes the own backend server's health endpoint while one is announced.
+// Probes the health endpoint of the node's own backend server while one is announced.
 class backend_health_monitor {
 public:
-    // The hook is told each change of whether the backend server is to be offered.
-    using offered_hook = std::function<void(bool offered)>;
+    // Called when the backend server becomes healthy or unhealthy.
+    using health_change_handler = std::function<void(bool healthy)>;
 
-    backend_health_monitor(boost::asio::io_context&, backend_client&, offered_hook);
+    backend_health_monitor(boost::asio::io_context&, backend_client&, health_change_handler);
 
-    // A new announcement starts afresh; nothing ends the probes.
+    // A changed address or health path resets the state. Without an announcement the probes stop.
     void setBackend(const std::optional<backend_announcement>&);
     void callAnswered();
 
-    bool isHealthy() const { return m_health.offered(); }
+    bool isHealthy() const { return m_health.isHealthy(); }
 
 private:
     void schedule();
@@ -32,7 +32,7 @@
     void probed(const http_result&);
 
     backend_client& m_client;
-    offered_hook m_offeredChanged;
+    health_change_handler m_healthChanged;
     boost::asio::steady_timer m_timer;
     std::optional<backend_announcement> m_backend;
     backend_health m_health;
--- a/Source/backend/backend_port.cpp
+++ b/Source/backend/backend_port.cpp
@@ -7,7 +7,7 @@
     constexpr unsigned statusNoContent = 204;
     constexpr unsigned statusBadRequest = 400;
     constexpr unsigned statusNotFound = 404;
-    constexpr const char* resource = "/backend-server";
+    constexpr const char* serverResource = "/backend-server";
     constexpr const char* drainResource = "/backend-server/drain";
 
     http_response textResponse(unsigned status, const std::string& text)
@@ -32,19 +32,19 @@
 
 void backend_port::handle(const http_request& request, http_exchange& exchange)
 {
-    if (request.method == "PUT" && request.target == resource) {
+    if (request.method == "PUT" && request.target == serverResource) {
         auto parsed = parseAnnouncement(request.body);
         if (auto* problem = std::get_if<announcement_problem>(&parsed)) {
             exchange.respond(textResponse(statusBadRequest, problem->message));
             return;
         }
         m_hooks.announced(std::get<backend_announcement>(parsed));
-    } else if (request.method == "DELETE" && request.target == resource) {
+    } else if (request.method == "DELETE" && request.target == serverResource) {
         m_hooks.withdrawn();
     } else if (request.method == "POST" && request.target == drainResource) {
         m_hooks.draining();
     } else {
-        exchange.respond(textResponse(statusNotFound, "this port takes PUT and DELETE of /backend-server and POST of /backend-server/drain"));
+        exchange.respond(textResponse(statusNotFound, "supported requests: PUT and DELETE of /backend-server, POST of /backend-server/drain"));
         return;
     }
     exchange.respond({ statusNoContent, {}, {} });
--- a/Source/backend/backend_port.h
+++ b/Source/backend/backend_port.h
@@ -8,14 +8,14 @@
 
 namespace vanillashunt {
 
-// What a backend server can tell its node.
+// Called for the requests that a backend server sends to its node.
 struct backend_port_hooks {
     std::function<void(const backend_announcement&)> announced;
     std::function<void()> withdrawn;
     std::function<void()> draining;
 };
 
-// The HTTP port where the own backend server announces itself, drains and withdraws.
+// HTTP port on which the node's own backend server announces itself, drains and withdraws.
 class backend_port {
 public:
     backend_port(boost::asio::io_context&, const std::string& listenAddress, backend_port_hooks);
--- a/Source/backend/instance_answer.cpp
+++ b/Source/backend/instance_answer.cpp
@@ -5,34 +5,34 @@
 namespace {
 
     constexpr unsigned statusMisdirected = 421;
-    constexpr unsigned leastSuccess = 200;
-    constexpr unsigned leastRedirect = 300;
+    constexpr unsigned minSuccessStatus = 200;
+    constexpr unsigned minRedirectStatus = 300;
 
     bool isSuccess(unsigned status)
     {
-        return status >= leastSuccess && status < leastRedirect;
+        return status >= minSuccessStatus && status < minRedirectStatus;
     }
 
 }
 
-bool answersRequest(const answer_metadata& marks, const std::string& requestId)
+bool answersRequest(const answer_metadata& metadata, const std::string& requestId)
 {
-    return marks.requestId.empty() || marks.requestId == requestId;
+    return metadata.requestId.empty() || metadata.requestId == requestId;
 }
 
-call_answer classifyAnswer(instance_result result, const answer_metadata& marks)
+call_answer classifyAnswer(instance_result result, const answer_metadata& metadata)
 {
     if (const auto* failure = std::get_if<instance_failure>(&result)) {
-        auto lost = verdict::mayHaveRun(verdict_reason::AnswerLost);
-        return makeCallAnswer(0, 0, failure->sent ? lost : verdict::notRun(verdict_reason::BackendUnreachable));
+        auto answerLost = verdict::mayHaveRun(verdict_reason::AnswerLost);
+        return makeCallAnswer(0, 0, failure->sent ? answerLost : verdict::notRun(verdict_reason::BackendUnreachable));
     }
     auto& response = std::get<http_response>(result);
-    if (marks.isNotExecuted || response.status == statusMisdirected) {
+    if (metadata.isNotExecuted || response.status == statusMisdirected) {
         return makeCallAnswer(0, 0, verdict::notRun(verdict_reason::BackendRefused));
     }
-    bool isOwn = marks.isSealed && !marks.isEncoded && !marks.requestId.empty();
-    if (isSuccess(response.status) && !isOwn) {
-        // Bytes that are not signed are not the server's answer, whatever they look like.
+    bool isAuthentic = metadata.isSealed && !metadata.isEncoded && !metadata.requestId.empty();
+    if (isSuccess(response.status) && !isAuthentic) {
+        // An unsigned response does not prove that the server itself answered, even with status 2xx.
         return makeCallAnswer(0, 0, verdict::mayHaveRun(verdict_reason::AnswerLost));
     }
     call_answer answer;
--- a/Source/backend/instance_answer.h
+++ b/Source/backend/instance_answer.h
@@ -6,11 +6,11 @@
 
 namespace vanillashunt {
 
-// Whether an answer belongs to the request: it names it, or names none.
+// Whether an answer may belong to the request: it has the request's id, or none.
 bool answersRequest(const answer_metadata&, const std::string& requestId);
 
-// Judges what a server answered to a request, and what its silence means. The
-// marks are those of the response.
+// Determines the verdict of a request from the server's response, or from the failure to get one.
+// The metadata is that of the response.
 call_answer classifyAnswer(instance_result, const answer_metadata&);
 
 }
--- a/Source/backend/instance_client.cpp
+++ b/Source/backend/instance_client.cpp
@@ -21,29 +21,30 @@
 
     constexpr std::chrono::milliseconds connectTimeout { 1000 };
 
-    // A server's idle timeout where it names none: shorter than any that is usual.
+    // Assumed idle timeout of a server that specifies none: shorter than common server defaults.
     constexpr std::chrono::milliseconds defaultIdleTimeout { 4000 };
-    // Before the server's own time-out, so that no request meets a closing connection.
+    // An idle connection is closed this long before the server's timeout, so that no request is sent on
+    // a connection that the server is closing.
     constexpr std::chrono::milliseconds idleMargin { 1000 };
 
-    // Answers of other requests that are passed over on one connection.
-    constexpr int mostForeignAnswers = 2;
+    // Maximum number of answers to other requests that are skipped on one connection.
+    constexpr int maxForeignAnswers = 2;
     constexpr std::uint32_t maxHeaderBytes = 64 * 1024;
-    constexpr unsigned firstFinalStatus = 200;
+    constexpr unsigned minFinalStatus = 200;
 
     class instance_connection;
 
-    // Room for a request line and the usual fields.
-    constexpr std::size_t usualHeaderBytes = 768;
+    // Capacity reserved for a request line and the usual fields.
+    constexpr std::size_t reservedHeaderBytes = 768;
 
-    // Closed by the server within this time after an answer, a connection is hardly ever:
-    // only one that was idle for longer is looked at before it takes a request.
-    constexpr std::chrono::milliseconds surelyOpen { 20 };
+    // A server rarely closes a connection within this time after an answer. Only a connection that was
+    // idle for longer is checked before it is reused.
+    constexpr std::chrono::milliseconds uncheckedIdleTime { 20 };
 
-    std::string requestText(const http_request& request)
+    std::string formatRequest(const http_request& request)
     {
         std::string text;
-        text.reserve(usualHeaderBytes + request.body.size());
+        text.reserve(reservedHeaderBytes + request.body.size());
         text.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
         for (const auto& field : request.fields) {
             text.append(field.name).append(": ").append(field.value).append("\r\n");
@@ -56,16 +57,16 @@
         return text;
     }
 
-    // How long the server keeps the connection, by its Keep-Alive field: "timeout=5, max=100".
-    std::chrono::milliseconds keptFor(const std::string& keepAlive)
+    // How long an idle connection may be kept, by the server's Keep-Alive field: "timeout=5, max=100".
+    std::chrono::milliseconds idleTimeoutFrom(const std::string& keepAlive)
     {
         constexpr const char* name = "timeout=";
-        auto place = keepAlive.find(name);
-        if (place == std::string::npos) {
+        auto position = keepAlive.find(name);
+        if (position == std::string::npos) {
             return defaultIdleTimeout;
         }
         int seconds = 0;
-        auto begin = keepAlive.data() + place + std::char_traits<char>::length(name);
+        auto begin = keepAlive.data() + position + std::char_traits<char>::length(name);
         std::from_chars(begin, keepAlive.data() + keepAlive.size(), seconds);
         return std::chrono::seconds(seconds) - idleMargin;
     }
@@ -98,11 +99,11 @@
         {
         }
 
-        // Whether an idle connection may take a request: nothing came on it, not even its
-        // end, that waits to be told.
-        bool isClean(time_point now)
+        // Whether an idle connection can be reused: its socket has neither received bytes nor the end of
+        // the connection that are not processed yet.
+        bool isReusable(time_point now)
         {
-            if (now - m_connection.idleSince() < surelyOpen) {
+            if (now - m_connection.idleSince() < uncheckedIdleTime) {
                 return true;
             }
             char byte = 0;
@@ -114,11 +115,11 @@
         void start(const std::string& requestId, const http_request& request)
         {
             m_requestId = requestId;
-            m_isHead = request.method == "HEAD";
-            m_outgoing = requestText(request);
+            m_isHeadRequest = request.method == "HEAD";
+            m_requestBytes = formatRequest(request);
             m_written = false;
             m_sent = false;
-            m_foreign = 0;
+            m_foreignAnswers = 0;
             beginAnswer();
             m_connection.use();
             if (m_connection.isOpen()) {
@@ -128,7 +129,7 @@
             connect();
         }
 
-        void becomeIdle() { m_connection.becomeIdle(std::chrono::steady_clock::now(), m_keptFor); }
+        void becomeIdle() { m_connection.becomeIdle(std::chrono::steady_clock::now(), m_idleTimeout); }
 
     private:
         friend class pooled_connection<instance_connection>;
@@ -145,7 +146,7 @@
                     self->fail(error.message());
                     return;
                 }
-                // It reads while it writes: the server may answer before it has the whole body.
+                // Reading starts before writing ends: the server may answer before it has received the body.
                 self->read();
                 self->write();
             });
@@ -154,24 +155,24 @@
         void write()
         {
             m_sent = true;
-            bool atOnce = m_connection.stream().send(asio::buffer(m_outgoing), [self = shared_from_this()](const error_code& error, std::size_t count) {
+            bool completed = m_connection.stream().send(asio::buffer(m_requestBytes), [self = shared_from_this()](const error_code& error, std::size_t count) {
                 self->written(!error);
-                // Nothing has left if even the first byte was refused.
+                // If the write fails at the first byte, nothing was sent.
                 self->m_sent = self->m_sent && !(error && count == 0);
                 if (error && error != asio::error::broken_pipe && error != asio::error::connection_reset) {
                     self->fail(error.message());
                 }
             });
-            if (atOnce) {
+            if (completed) {
                 written(true);
             }
         }
 
-        // An idle connection keeps nothing of what it has sent.
-        void written(bool whole)
+        // Releases the request, so that idle connections hold no memory for it.
+        void written(bool completed)
         {
-            m_written = whole;
-            m_outgoing = {};
+            m_written = completed;
+            m_requestBytes = {};
         }
 
         void beginAnswer()
@@ -181,7 +182,7 @@
             if (auto client = m_client.lock()) {
                 m_parser->body_limit(client->settings.maxBodyBytes);
             }
-            m_parser->skip(m_isHead);
+            m_parser->skip(m_isHeadRequest);
         }
 
         void idleEnded()
@@ -192,16 +193,16 @@
             }
         }
 
-        // An answer without a length is whole when the server has ended the connection; one
-        // that was reset is not.
+        // An answer without a length is complete when the server closes the connection, but not when the
+        // connection is reset.
         void connectionEnded(const error_code& error)
         {
-            error_code refused;
+            error_code parseError;
             if (error == asio::error::eof && m_parser->got_some()) {
-                m_parser->put_eof(refused);
+                m_parser->put_eof(parseError);
             }
-            if (error == asio::error::eof && !refused && m_parser->is_done()) {
-                answerRead();
+            if (error == asio::error::eof && !parseError && m_parser->is_done()) {
+                answerComplete();
                 return;
             }
             fail(error.message());
@@ -223,40 +224,40 @@
                 if (!m_parser->is_done()) {
                     continue;
                 }
-                answerRead();
+                answerComplete();
             }
         }
 
-        void answerRead()
+        void answerComplete()
         {
             auto client = m_client.lock();
             if (!client) {
                 close();
                 return;
             }
-            if (m_parser->status < firstFinalStatus) {
+            if (m_parser->status < minFinalStatus) {
                 beginAnswer();
                 return;
             }
-            bool mayGoOn = m_parser->keep_alive() && !m_parser->need_eof();
+            bool keepsOpen = m_parser->keep_alive() && !m_parser->need_eof();
             auto response = takeResponse();
             if (!client->settings.isAnswerTo(response, m_requestId)) {
                 ++client->counts.foreignAnswers;
-                passOver(mayGoOn);
+                skipForeignAnswer(keepsOpen);
                 return;
             }
             auto extraBytes = m_connection.stream().received().size();
             client->counts.extraBytes += extraBytes;
-            bool reusable = mayGoOn && m_written && m_foreign == 0 && extraBytes == 0 && m_keptFor.count() > 0;
+            bool reusable = keepsOpen && m_written && m_foreignAnswers == 0 && extraBytes == 0 && m_idleTimeout.count() > 0;
             end(std::move(response), reusable);
         }
 
-        // An answer to an earlier request came late; the own one may follow it.
-        void passOver(bool mayGoOn)
+        // A delayed answer to an earlier request may be followed by the answer to this one.
+        void skipForeignAnswer(bool keepsOpen)
         {
-            ++m_foreign;
-            if (!mayGoOn || m_foreign > mostForeignAnswers) {
-                fail("an answer of another request came");
+            ++m_foreignAnswers;
+            if (!keepsOpen || m_foreignAnswers > maxForeignAnswers) {
+                fail("received an answer to another request");
                 return;
             }
             beginAnswer();
@@ -264,7 +265,7 @@
 
         http_response takeResponse()
         {
-            m_keptFor = keptFor(m_parser->keepAlive);
+            m_idleTimeout = idleTimeoutFrom(m_parser->keepAlive);
             return { m_parser->status, std::move(m_parser->fields), std::move(m_parser->body) };
         }
 
@@ -284,11 +285,11 @@
 
         std::weak_ptr<instance_client::state> m_client;
         std::string m_requestId;
-        std::string m_outgoing;
+        std::string m_requestBytes;
         std::optional<message_parser<false>> m_parser;
-        std::chrono::milliseconds m_keptFor { defaultIdleTimeout };
-        int m_foreign = 0;
-        bool m_isHead = false;
+        std::chrono::milliseconds m_idleTimeout { defaultIdleTimeout };
+        int m_foreignAnswers = 0;
+        bool m_isHeadRequest = false;
         bool m_written = false;
         bool m_sent = false;
     };
@@ -306,7 +307,7 @@
 {
     auto now = std::chrono::steady_clock::now();
     auto connection = m_state->pool.takeIdle(address, now);
-    while (connection && !connection->isClean(now)) {
+    while (connection && !connection->isReusable(now)) {
         connection->close();
         connection = m_state->pool.takeIdle(address, now);
     }
@@ -333,7 +334,7 @@
     return m_state->pool.anyOf([](const instance_connection& connection) { return connection.isEstablished(); });
 }
 
-void instance_client::probe(const std::string& address, std::function<void(bool answered)> handler)
+void instance_client::probe(const std::string& address, std::function<void(bool connected)> handler)
 {
     ++m_state->counts.connectionsOpened;
     auto connection = std::make_shared<pooled_socket>(m_state->context, address);
--- a/Source/backend/server_end_detector.cpp
+++ b/Source/backend/server_end_detector.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-    // All connections of a server that ends break within this time, so that what is still
-    // open then tells that the server is there.
+    // When a server ends, all its connections break within this time. A connection that is still
+    // open after it shows that the server is running.
     constexpr std::chrono::milliseconds settleTime { 30 };
 
-    // Runs that end their server do so within a second of their start, mostly; whoever
-    // asked for one may have left before that.
-    constexpr std::chrono::milliseconds cancelledTime { 1000 };
-    // Bounds what a storm of cancelled calls can take: the slots of a large server twice over.
-    constexpr std::size_t mostCancelled = 1024;
+    // A run that terminates its server usually does so within a second of its start. Its caller may
+    // have cancelled it before.
+    constexpr std::chrono::milliseconds cancelledRetention { 1000 };
+    // Limits the memory that many cancelled calls can use: twice the slots of a large server.
+    constexpr std::size_t maxCancelled = 1024;
 
 }
 
@@ -23,30 +23,30 @@
 {
     if (!m_start || *m_start != start) {
         m_start = start;
-        m_lost.clear();
+        m_lostRuns.clear();
     }
-    if (m_lost.empty()) {
-        m_since = now;
-        m_asked = false;
-        m_reachable = false;
+    if (m_lostRuns.empty()) {
+        m_firstLoss = now;
+        m_probeStarted = false;
+        m_isReachable = false;
     }
-    m_lost.push_back(content);
+    m_lostRuns.push_back(content);
 }
 
 void server_end_detector::runCancelled(request_fingerprint content, time_point now)
 {
-    m_cancelled.push_back({ content, now });
-    while (m_cancelled.size() > mostCancelled || m_cancelled.front().at < now - cancelledTime) {
-        m_cancelled.pop_front();
+    m_cancelledRuns.push_back({ content, now });
+    while (m_cancelledRuns.size() > maxCancelled || m_cancelledRuns.front().time < now - cancelledRetention) {
+        m_cancelledRuns.pop_front();
     }
 }
 
 bool server_end_detector::startProbeIfDue(time_point now)
 {
-    if (m_lost.empty() || m_asked || now < m_since + settleTime) {
+    if (m_lostRuns.empty() || m_probeStarted || now < m_firstLoss + settleTime) {
         return false;
     }
-    m_asked = true;
+    m_probeStarted = true;
     return true;
 }
 
@@ -55,40 +55,40 @@
     if (presence == server_presence::Gone) {
         return takeEnd(now);
     }
-    m_reachable = presence == server_presence::Reachable;
-    if (!m_reachable) {
-        m_lost.clear();
+    m_isReachable = presence == server_presence::Reachable;
+    if (!m_isReachable) {
+        m_lostRuns.clear();
     }
     return std::nullopt;
 }
 
-// A server may be back before it is asked; its first report tells.
+// The server may have restarted before the probe; the first report of the new start shows this.
 std::optional<server_end> server_end_detector::serverIdentified(const server_start& start, time_point now)
 {
-    if (m_lost.empty()) {
+    if (m_lostRuns.empty()) {
         return std::nullopt;
     }
     if (*m_start != start) {
         return takeEnd(now);
     }
-    if (m_reachable) {
-        m_lost.clear();
+    if (m_isReachable) {
+        m_lostRuns.clear();
     }
     return std::nullopt;
 }
 
 std::optional<server_end> server_end_detector::takeEnd(time_point now)
 {
-    if (m_lost.empty()) {
+    if (m_lostRuns.empty()) {
         return std::nullopt;
     }
-    server_end end { *m_start, std::exchange(m_lost, {}) };
-    for (const auto& run : m_cancelled) {
-        if (run.at >= now - cancelledTime) {
+    server_end end { *m_start, std::exchange(m_lostRuns, {}) };
+    for (const auto& run : m_cancelledRuns) {
+        if (run.time >= now - cancelledRetention) {
             end.running.push_back(run.content);
         }
     }
-    m_cancelled.clear();
+    m_cancelledRuns.clear();
     std::sort(end.running.begin(), end.running.end());
     end.running.erase(std::unique(end.running.begin(), end.running.end()), end.running.end());
     return end;
--- a/Source/backend/server_end_detector.h
+++ b/Source/backend/server_end_detector.h
@@ -11,58 +11,60 @@
 
 namespace vanillashunt {
 
-// A start of the server that ended while it had requests.
+// The end of a server process while it was running requests.
 struct server_end {
     server_start start;
-    // The contents that it had begun to run, each once.
+    // Contents of the requests that it may have been running, without duplicates.
     std::vector<request_fingerprint> running;
 };
 
-// Whether something serves at the server's address, after some of its answers were lost.
+// Whether a server accepts connections at the server's address after some of its answers were lost.
 enum class server_presence : std::uint8_t {
-    Connected, // A connection is open that it had taken before: it is the same start.
-    Reachable, // It takes a new connection: the same start, or the next one already.
-    Gone, // It takes none.
+    Connected, // An earlier connection is still open, so it is the same start.
+    Reachable, // It accepts a new connection: either the same start or already the next one.
+    Gone, // It accepts no connection.
 };
 
-// Tells the end of a server from an answer that was lost. The runs whose answers were
-// lost, or that were cancelled a moment before, are kept until it is known whether the
-// server is still there.
+// Distinguishes the end of a server process from a single lost answer. Runs whose answers were lost,
+// and runs that were cancelled shortly before, are kept until it is known whether the server is still
+// running.
 class server_end_detector {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    // A run ended without an answer.
+    // Records that a run ended without an answer.
     void runLost(const server_start&, request_fingerprint, time_point now);
 
-    // A run was cancelled; the server may end under it all the same.
+    // Records that a run was cancelled; it may still terminate the server.
     void runCancelled(request_fingerprint, time_point now);
 
-    // Whether the server is to be asked now; true once for each doubt.
+    // Returns whether to probe the server now: true once after answers were lost.
     bool startProbeIfDue(time_point now);
 
-    bool inDoubt() const { return !m_lost.empty(); }
+    // Whether answers were lost and it is not known yet whether the server has ended.
+    bool inDoubt() const { return !m_lostRuns.empty(); }
 
-    // What came of asking; returns the end, if it was one.
+    // Handles the result of the probe; returns the end if the server has ended.
     std::optional<server_end> probed(server_presence, time_point now);
 
-    // A start of the server is there: a report, or its answer that it is not another one.
+    // Handles evidence of which start of the server is running, such as its report; returns the end of
+    // the start that lost answers if this is another one.
     std::optional<server_end> serverIdentified(const server_start&, time_point now);
 
 private:
     struct cancelled_run {
         request_fingerprint content;
-        time_point at;
+        time_point time;
     };
 
     std::optional<server_end> takeEnd(time_point now);
 
     std::optional<server_start> m_start;
-    std::vector<request_fingerprint> m_lost;
-    std::deque<cancelled_run> m_cancelled;
-    time_point m_since;
-    bool m_asked = false;
-    bool m_reachable = false;
+    std::vector<request_fingerprint> m_lostRuns;
+    std::deque<cancelled_run> m_cancelledRuns;
+    time_point m_firstLoss;
+    bool m_probeStarted = false;
+    bool m_isReachable = false;
 };
 
 }
--- a/Source/backend/server_report.h
+++ b/Source/backend/server_report.h
@@ -10,25 +10,25 @@
 
 enum class server_condition : std::uint8_t {
     Ready,
-    Draining, // Takes no new work and finishes what it has.
-    Left, // Says that it ends.
+    Draining, // Accepts no new requests and finishes those in progress.
+    Left, // Has deregistered.
 };
 
 std::string toString(server_condition);
 
-// What the server beside the node tells of itself, time and again.
+// A heartbeat or a deregistration of the backend server beside the node.
 struct server_report {
     server_start start;
     server_condition condition = server_condition::Ready;
-    // Empty when it says that it ends.
+    // Empty in a deregistration.
     std::string service;
-    // Where it serves: "IP:port".
+    // Address that it listens on: "IP:port".
     std::string address;
-    // Requests that it runs at once.
+    // Maximum number of requests that it runs concurrently.
     std::uint32_t slots = 0;
-    // How much longer it is slow after its start.
+    // Remaining time until it reaches full speed after its start.
     std::chrono::milliseconds warmupLeft { 0 };
-    // Rises with each report of one start.
+    // Increases with each report of the same start.
     std::uint64_t sequence = 0;
 };
 
--- a/Source/backend/server_start.cpp
+++ b/Source/backend/server_start.cpp
@@ -6,8 +6,8 @@
 
 std::uint64_t hashOf(const server_start& start)
 {
-    auto born = start.born ? start.born->time_since_epoch() / std::chrono::milliseconds(1) : 0;
-    return XXH3_64bits_withSeed(start.instanceId.data(), start.instanceId.size(), static_cast<std::uint64_t>(born));
+    auto bornMilliseconds = start.born ? start.born->time_since_epoch() / std::chrono::milliseconds(1) : 0;
+    return XXH3_64bits_withSeed(start.instanceId.data(), start.instanceId.size(), static_cast<std::uint64_t>(bornMilliseconds));
 }
 
 }
--- a/Source/backend/server_start.h
+++ b/Source/backend/server_start.h
@@ -7,12 +7,12 @@
 
 namespace vanillashunt {
 
-// Names one start of a server. A server may start again under the same id, and then
-// knows nothing of before; its requests, connections and counts ended with the last start.
+// Identifies one start of a server. A server may restart under the same id and then has no state from
+// before; its requests, connections and counters ended with the previous start.
 struct server_start {
     std::string instanceId;
-    // When it started, by its own clock; nothing where the server does not say, so that
-    // its id alone names the start.
+    // Start time by the server's own clock; nothing if the server does not report it, in which case
+    // the id alone identifies the start.
     std::optional<std::chrono::system_clock::time_point> born = std::nullopt;
 };
 
@@ -26,13 +26,12 @@
     return !(left == right);
 }
 
-// The same for the same start, on every machine.
+// Hash of a start that is the same on every machine.
 std::uint64_t hashOf(const server_start&);
 
-// Whether both are starts of one server, and the first came after the second. Starts
-// of different ids are not compared: their clocks may differ. A start that is known by
-// its time comes after one of the same id that is not, since a server that tells its
-// start goes on to do so.
+// Whether both are starts of the same server and `left` is the later one. Starts with different ids
+// are not compared, since their clocks may differ. A start with a start time is later than one of the
+// same id without, since a server that reports its start time keeps reporting it.
 inline bool isLaterStart(const server_start& left, const server_start& right)
 {
     return left.instanceId == right.instanceId && left.born > right.born;
--- a/Source/backend/server_tracker.cpp
+++ b/Source/backend/server_tracker.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-    // Starts of the server that are remembered as over; reports are late by seconds,
-    // and a server does not start more often than about once a second.
-    constexpr std::size_t mostRetired = 64;
+    // Maximum number of ended starts that are kept. Reports are delayed by seconds, and a server
+    // starts at most about once a second.
+    constexpr std::size_t maxRetired = 64;
 
-    // Reports are late by seconds. A deregistration that is further from the current time, in
+    // Reports are delayed by seconds. A deregistration that is further from the current time, in
     // either direction, is dropped, so that setting the clock back does not block new starts.
     constexpr std::chrono::seconds deregistrationRetention { 60 };
 
@@ -36,66 +36,66 @@
     return "";
 }
 
-report_effect server_tracker::report(const server_report& news, std::optional<wall_time> received)
+report_effect server_tracker::report(const server_report& newReport, std::optional<wall_time> received)
 {
     dropExpiredDeregistrations(received);
-    if (news.condition == server_condition::Left) {
-        return leave(news, received);
+    if (newReport.condition == server_condition::Left) {
+        return leave(newReport, received);
     }
-    if (lacksBorn(news.start)) {
+    if (lacksExpectedBorn(newReport.start)) {
         return report_effect::Unclear;
     }
-    if (isOver(news.start)) {
+    if (hasEnded(newReport.start)) {
         return report_effect::Nothing;
     }
-    if (!m_current || m_current->start != news.start) {
-        return replace(news);
+    if (!m_current || m_current->start != newReport.start) {
+        return replace(newReport);
     }
-    if (news.sequence <= m_current->sequence) {
+    if (newReport.sequence <= m_current->sequence) {
         return report_effect::Nothing;
     }
-    // A server that has said that it leaves does not come back by the same start.
-    auto condition = std::max(m_current->condition, news.condition);
-    bool leaves = condition != m_current->condition;
-    m_current = news;
+    // A start that is draining or has deregistered does not become ready again.
+    auto condition = std::max(m_current->condition, newReport.condition);
+    bool isLeaving = condition != m_current->condition;
+    m_current = newReport;
     m_current->condition = condition;
     m_ended = false;
-    return leaves ? report_effect::Leaving : report_effect::Updated;
+    return isLeaving ? report_effect::Leaving : report_effect::Updated;
 }
 
-report_effect server_tracker::replace(const server_report& news)
+report_effect server_tracker::replace(const server_report& newReport)
 {
     if (m_current) {
         retire(m_current->start);
     }
-    m_previous = std::exchange(m_current, news);
+    m_previous = std::exchange(m_current, newReport);
     m_ended = false;
-    return news.condition == server_condition::Draining ? report_effect::Leaving : report_effect::Replaced;
+    return newReport.condition == server_condition::Draining ? report_effect::Leaving : report_effect::Replaced;
 }
 
-// A server that leaves without saying which start it is may be the one that is there:
-// to send it nothing is safe, and to go on sending is not.
-report_effect server_tracker::leave(const server_report& news, std::optional<wall_time> received)
+// A deregistration without a start time may be from the running server: sending it no more requests
+// is safe, while continuing to send is not.
+report_effect server_tracker::leave(const server_report& newReport, std::optional<wall_time> received)
 {
-    bool sameServer = m_current && m_current->start.instanceId == news.start.instanceId;
-    bool isLate = sameServer && news.start.born && isLaterStart(m_current->start, news.start);
-    if (isLate) {
-        retire(news.start);
+    bool sameServer = m_current && m_current->start.instanceId == newReport.start.instanceId;
+    bool isFromEarlierStart = sameServer && newReport.start.born && isLaterStart(m_current->start, newReport.start);
+    if (isFromEarlierStart) {
+        retire(newReport.start);
         return report_effect::Nothing;
     }
     // The deregistered start may be later than any reported one.
     bool mayBeUnreportedStart = !sameServer || received;
-    if (!news.start.born && mayBeUnreportedStart) {
-        recordDeregistration({ news.start.instanceId, received });
+    if (!newReport.start.born && mayBeUnreportedStart) {
+        recordDeregistration({ newReport.start.instanceId, received });
     }
     if (!sameServer) {
         // The server may have registered with an earlier process of this node.
-        retire(news.start);
+        retire(newReport.start);
         return report_effect::LeavingUnknown;
     }
-    if (news.start.born && m_current->start != news.start) {
-        m_current->start = news.start;
-        m_current->sequence = news.sequence;
+    if (newReport.start.born && m_current->start != newReport.start) {
+        m_current->start = newReport.start;
+        m_current->sequence = newReport.sequence;
     }
     m_current->condition = server_condition::Left;
     return report_effect::Leaving;
@@ -109,10 +109,10 @@
     retire(start);
     m_current = std::exchange(m_previous, std::nullopt);
     if (m_current) {
-        auto again = std::remove(m_retired.begin(), m_retired.end(), m_current->start);
-        m_retired.erase(again, m_retired.end());
+        auto newEnd = std::remove(m_retired.begin(), m_retired.end(), m_current->start);
+        m_retired.erase(newEnd, m_retired.end());
     }
-    if (m_current && isOver(m_current->start)) {
+    if (m_current && hasEnded(m_current->start)) {
         m_current.reset();
     }
 }
@@ -127,52 +127,52 @@
     return m_current && !m_ended && m_current->condition == server_condition::Ready;
 }
 
-bool server_tracker::lacksBorn(const server_start& start) const
+bool server_tracker::lacksExpectedBorn(const server_start& start) const
 {
     if (start.born) {
         return false;
     }
-    auto tellsBorn = [&start](const server_start& known) { return known.instanceId == start.instanceId && known.born; };
-    return (m_current && tellsBorn(m_current->start)) || std::any_of(m_retired.begin(), m_retired.end(), tellsBorn);
+    auto hasBorn = [&start](const server_start& known) { return known.instanceId == start.instanceId && known.born; };
+    return (m_current && hasBorn(m_current->start)) || std::any_of(m_retired.begin(), m_retired.end(), hasBorn);
 }
 
-// With a start, those of the same server before it are over.
-bool server_tracker::isOver(const server_start& start) const
+// A start has ended once a later start of the same server is known.
+bool server_tracker::hasEnded(const server_start& start) const
 {
     if (m_current && isLaterStart(m_current->start, start)) {
         return true;
     }
-    bool isRetired = std::any_of(m_retired.begin(), m_retired.end(), [&start](const server_start& over) { return over == start || isLaterStart(over, start); });
+    bool isRetired = std::any_of(m_retired.begin(), m_retired.end(), [&start](const server_start& retired) { return retired == start || isLaterStart(retired, start); });
     return isRetired || isDeregistered(start);
 }
 
 // A start born before the deregistration arrived is the deregistered one or an earlier one.
 bool server_tracker::isDeregistered(const server_start& start) const
 {
-    return std::any_of(m_deregistrations.begin(), m_deregistrations.end(), [&start](const deregistration& each) {
-        bool startedBefore = !start.born || !each.received || *start.born <= *each.received;
-        return each.instanceId == start.instanceId && startedBefore;
+    return std::any_of(m_deregistrations.begin(), m_deregistrations.end(), [&start](const deregistration& entry) {
+        bool startedBefore = !start.born || !entry.received || *start.born <= *entry.received;
+        return entry.instanceId == start.instanceId && startedBefore;
     });
 }
 
 void server_tracker::recordDeregistration(deregistration entry)
 {
     m_deregistrations.push_back(std::move(entry));
-    if (m_deregistrations.size() > mostRetired) {
+    if (m_deregistrations.size() > maxRetired) {
         m_deregistrations.pop_front();
     }
 }
 
 void server_tracker::dropExpiredDeregistrations(std::optional<wall_time> now)
 {
-    auto isExpired = [now](const deregistration& each) { return now && each.received && std::chrono::abs(*now - *each.received) > deregistrationRetention; };
+    auto isExpired = [now](const deregistration& entry) { return now && entry.received && std::chrono::abs(*now - *entry.received) > deregistrationRetention; };
     m_deregistrations.erase(std::remove_if(m_deregistrations.begin(), m_deregistrations.end(), isExpired), m_deregistrations.end());
 }
 
 void server_tracker::retire(const server_start& start)
 {
     m_retired.push_back(start);
-    if (m_retired.size() > mostRetired) {
+    if (m_retired.size() > maxRetired) {
         m_retired.pop_front();
     }
 }
--- a/Source/backend/server_tracker.h
+++ b/Source/backend/server_tracker.h
@@ -12,49 +12,49 @@
 
 // What a report changed.
 enum class report_effect {
-    Nothing, // It was late, or of a start that is over.
+    Nothing, // It was outdated or from a start that has ended.
     Updated,
-    Replaced, // Another start of the server, which knows nothing of the last one.
-    Leaving, // The server takes no new work from now on.
-    Unclear, // It lacks the time of the start, which this server's reports have: not the server's own.
+    Replaced, // From another start of the server, which has no state of the previous one.
+    Leaving, // The server accepts no new requests from now on.
+    Unclear, // Lacks the start time that this server always reports, so the server did not send it.
     LeavingUnknown, // A server other than the current one deregistered.
 };
 
 std::string toString(report_effect);
 
-// Knows which start of the server beside the node is there, and whether it takes
-// work, by reports that may come late, twice or from a server that is gone.
+// Determines which start of the server beside the node is running and whether it accepts requests,
+// from reports that may be delayed, duplicated or from a server that has ended.
 class server_tracker {
 public:
     using wall_time = std::chrono::system_clock::time_point;
 
-    // `received` is the arrival time by the wall clock of the server's machine. Without it,
-    // a deregistration of an unknown server that names no start covers all starts of that id.
+    // `received` is the arrival time by the wall clock of the server's machine. Without it, a
+    // deregistration of an unknown server without a start time applies to all starts of that id.
     report_effect report(const server_report&, std::optional<wall_time> received = std::nullopt);
 
-    // The server at the address says that it is another than this one. If a late
-    // report put this one in the place of another, that one counts again.
+    // Handles an answer of the server at the address that it is not this start (status 421). If a
+    // delayed report of this start replaced another one, the other one becomes current again.
     void misdirected(const server_start&);
 
-    // That start of the server is not there any more. It gets nothing until a report, of
-    // whichever start, tells that there is one.
+    // Records that this start of the server has ended. No requests are sent until a report from any
+    // start arrives.
     void ended(const server_start&);
 
-    // Nothing while no server is known.
+    // The last report of the current start; nothing while no server is known.
     const std::optional<server_report>& current() const { return m_current; }
 
-    // Whether the server is known and there, and has not said that it leaves.
+    // Whether a server is known and running, and is not draining or deregistered.
     bool takesWork() const;
 
 private:
-    // A deregistration that names no start; it covers every start born up to its arrival.
+    // A deregistration without a start time; it applies to every start born up to its arrival.
     struct deregistration {
         std::string instanceId;
         std::optional<wall_time> received;
     };
 
-    bool lacksBorn(const server_start&) const;
-    bool isOver(const server_start&) const;
+    bool lacksExpectedBorn(const server_start&) const;
+    bool hasEnded(const server_start&) const;
     void retire(const server_start&);
     report_effect replace(const server_report&);
     report_effect leave(const server_report&, std::optional<wall_time> received);
@@ -64,9 +64,9 @@
 
     std::optional<server_report> m_current;
     bool m_ended = false;
-    // The one that the current one has replaced.
+    // The last report of the start that the current one replaced.
     std::optional<server_report> m_previous;
-    // Starts that are over, the latest last.
+    // Starts that have ended, the most recent last.
     std::deque<server_start> m_retired;
     std::deque<deregistration> m_deregistrations;
 };
--- a/Source/backend/start_verification.h
+++ b/Source/backend/start_verification.h
@@ -10,13 +10,13 @@
 // Result of a health probe of a backend server.
 enum class server_health : std::uint8_t {
     Serving,
-    NotServing, // It leaves, is unhealthy, or another server answered.
-    Unknown, // No answer, or one that does not tell the health.
+    NotServing, // It is leaving or unhealthy, or another server answered.
+    Unknown, // No answer, or one that does not show the health.
 };
 
 // Verifies a start that is reported to a process which knows no other start of the server. The
-// report may be a late duplicate from a server that told an earlier process that it leaves, so the
-// server's health is probed first. A report with a higher sequence number also verifies the start,
+// report may be a delayed duplicate from a server that has since deregistered with an earlier process,
+// so the server's health is probed first. A report with a higher sequence number also verifies the start,
 // which limits the effect of a wrong health answer to one heartbeat.
 class start_verification {
 public:
--- a/Tests/BackendHealth/backend_health_test.cpp
+++ b/Tests/BackendHealth/backend_health_test.cpp
@@ -9,35 +9,35 @@
     using time_point = std::chrono::steady_clock::time_point;
     using std::chrono::milliseconds;
 
-    void probeTimes(backend_health& health, probe_result result, int times, time_point now)
+    void repeatProbe(backend_health& health, probe_result result, int count, time_point now)
     {
-        for (int i = 0; i < times; ++i) {
+        for (int i = 0; i < count; ++i) {
             health.probed(result, now);
         }
     }
 
 }
 
-TEST(BackendHealth, OneBadAnswerSaysLittleAndRefusedConnectionsMuch)
+TEST(BackendHealth, BecomesUnhealthyAfterTwoRefusedConnectionsButNotAfterOneErrorAnswer)
 {
     time_point now;
     backend_health health;
-    health.probed(probe_result::Unwell, now);
+    health.probed(probe_result::Unhealthy, now);
     EXPECT_TRUE(health.isHealthy());
-    probeTimes(health, probe_result::Unreachable, 2, now);
+    repeatProbe(health, probe_result::Unreachable, 2, now);
     EXPECT_FALSE(health.isHealthy());
-    health.probed(probe_result::Well, now);
+    health.probed(probe_result::Healthy, now);
     EXPECT_TRUE(health.isHealthy());
 }
 
-TEST(BackendHealth, AnEndpointThatLiesIsNotBelievedWhileCallsAreAnswered)
+TEST(BackendHealth, IgnoresErrorAnswersWhileCallsAreAnswered)
 {
     time_point now;
     backend_health health;
     health.callAnswered(now);
-    probeTimes(health, probe_result::Unwell, 20, now + milliseconds(900));
+    repeatProbe(health, probe_result::Unhealthy, 20, now + milliseconds(900));
     EXPECT_TRUE(health.isHealthy());
-    probeTimes(health, probe_result::Unwell, 1, now + milliseconds(1000));
+    repeatProbe(health, probe_result::Unhealthy, 1, now + milliseconds(1000));
     EXPECT_FALSE(health.isHealthy());
 }
 
--- a/Tests/ServerAnswers/server_answers_test.cpp
+++ b/Tests/ServerAnswers/server_answers_test.cpp
@@ -12,27 +12,27 @@
 
     constexpr const char* idField = "X-Id";
 
-    answer_metadata marksOf(const http_response& response)
+    answer_metadata metadataOf(const http_response& response)
     {
-        answer_metadata marks;
-        marks.requestId = fieldValue(response.fields, idField);
-        marks.isSealed = !fieldValue(response.fields, "X-Seal").empty();
-        marks.isNotExecuted = !fieldValue(response.fields, "X-Not-Run").empty();
-        marks.isEncoded = !fieldValue(response.fields, "Content-Encoding").empty();
-        return marks;
+        answer_metadata metadata;
+        metadata.requestId = fieldValue(response.fields, idField);
+        metadata.isSealed = !fieldValue(response.fields, "X-Seal").empty();
+        metadata.isNotExecuted = !fieldValue(response.fields, "X-Not-Run").empty();
+        metadata.isEncoded = !fieldValue(response.fields, "Content-Encoding").empty();
+        return metadata;
     }
 
-    // A client, and a server whose bytes the test decides.
-    class exchange {
+    // A client and a server whose answers the test sends byte by byte.
+    class client_harness {
     public:
-        exchange()
+        client_harness()
         {
             instance_client_settings settings;
-            settings.isAnswerTo = [](const http_response& response, const std::string& id) { return answersRequest(marksOf(response), id); };
+            settings.isAnswerTo = [](const http_response& response, const std::string& id) { return answersRequest(metadataOf(response), id); };
             m_client = std::make_unique<instance_client>(m_loop.context, settings);
         }
 
-        ~exchange()
+        ~client_harness()
         {
             onLoop([this] { m_client.reset(); });
         }
@@ -52,7 +52,7 @@
             onLoop([this] { m_client->cancel(lastId); });
         }
 
-        std::uint64_t opened()
+        std::uint64_t connectionsOpened()
         {
             std::uint64_t count = 0;
             onLoop([&] { count = m_client->counts().connectionsOpened; });
@@ -63,167 +63,167 @@
         std::uint64_t lastId = 0;
 
     private:
-        void onLoop(const std::function<void()>& work) { m_loop.runAndWait(work); }
+        void onLoop(const std::function<void()>& task) { m_loop.runAndWait(task); }
 
         context_thread m_loop;
         std::unique_ptr<instance_client> m_client;
     };
 
-    std::string wholeAnswer(const std::string& id, const std::string& body, const std::string& more = {})
+    std::string completeAnswer(const std::string& id, const std::string& body, const std::string& extraFields = {})
     {
-        return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Seal: s\r\n" + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+        return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Seal: s\r\n" + extraFields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
 
-    call_answer judged(instance_result result)
+    call_answer classified(instance_result result)
     {
-        answer_metadata marks;
+        answer_metadata metadata;
         if (const auto* response = std::get_if<http_response>(&result)) {
-            marks = marksOf(*response);
+            metadata = metadataOf(*response);
         }
-        return classifyAnswer(std::move(result), marks);
+        return classifyAnswer(std::move(result), metadata);
     }
 
-    // What comes of one request to which the server sends these bytes and then leaves.
-    call_answer answerTo(const std::string& bytes, bool crashes = false)
+    // The answer to a request after which the server sends these bytes and closes or resets the connection.
+    call_answer answerTo(const std::string& bytes, bool resets = false)
     {
-        exchange world;
-        auto result = world.send("r1");
-        auto connection = world.server.accept();
+        client_harness harness;
+        auto result = harness.send("r1");
+        auto connection = harness.server.accept();
         connection.readUntil("\r\n\r\n");
         connection.send(bytes);
-        if (crashes) {
+        if (resets) {
             connection.reset();
         } else {
             connection.close();
         }
-        return judged(result.get());
+        return classified(result.get());
     }
 
 }
 
-TEST(ServerAnswers, AreTakenWholeAndOnOneConnection)
+TEST(ServerAnswers, AreReadCompletelyOnOneConnection)
 {
-    exchange world;
-    auto first = world.send("r1");
-    auto connection = world.server.accept();
+    client_harness harness;
+    auto first = harness.send("r1");
+    auto connection = harness.server.accept();
     connection.readUntil("\r\n\r\n");
-    connection.send(wholeAnswer("r1", "one"));
-    EXPECT_EQ(judged(first.get()).body, "one");
-    auto second = world.send("r2");
+    connection.send(completeAnswer("r1", "one"));
+    EXPECT_EQ(classified(first.get()).body, "one");
+    auto second = harness.send("r2");
     connection.readUntil("\r\n\r\n");
-    connection.send(wholeAnswer("r2", "two"));
-    EXPECT_EQ(judged(second.get()).body, "two");
-    EXPECT_EQ(world.opened(), 1U);
+    connection.send(completeAnswer("r2", "two"));
+    EXPECT_EQ(classified(second.get()).body, "two");
+    EXPECT_EQ(harness.connectionsOpened(), 1U);
 }
 
-TEST(ServerAnswers, ThatAreCutShortAreNone)
+TEST(ServerAnswers, ThatAreTruncatedAreLost)
 {
-    auto whole = wholeAnswer("r1", "body");
-    EXPECT_EQ(answerTo(whole.substr(0, whole.size() - 1)).outcome.run, execution::MayHaveRun);
+    auto complete = completeAnswer("r1", "body");
+    EXPECT_EQ(answerTo(complete.substr(0, complete.size() - 1)).outcome.run, execution::MayHaveRun);
     EXPECT_EQ(answerTo("HTTP/1.1 200 OK\r\nX-Id: r1\r\n").outcome.run, execution::MayHaveRun);
     EXPECT_EQ(answerTo("no answer at all\r\n\r\n").outcome.run, execution::MayHaveRun);
     EXPECT_EQ(answerTo("").outcome.run, execution::MayHaveRun);
 }
 
-TEST(ServerAnswers, WithoutALengthAreWholeOnlyAtACleanEnd)
+TEST(ServerAnswers, WithoutALengthAreCompleteOnlyIfTheConnectionIsClosedCleanly)
 {
-    const std::string unframed = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Seal: s\r\n\r\nbody";
-    EXPECT_EQ(answerTo(unframed).body, "body");
-    EXPECT_EQ(answerTo(unframed, true).outcome.run, execution::MayHaveRun);
+    const std::string answerWithoutLength = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Seal: s\r\n\r\nbody";
+    EXPECT_EQ(answerTo(answerWithoutLength).body, "body");
+    EXPECT_EQ(answerTo(answerWithoutLength, true).outcome.run, execution::MayHaveRun);
 }
 
-TEST(ServerAnswers, ThatAreNotTheServersOwnAreNone)
+TEST(ServerAnswers, ThatAreNotAuthenticAreLost)
 {
     EXPECT_EQ(answerTo("HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 0\r\n\r\n").outcome.run, execution::MayHaveRun);
-    EXPECT_EQ(answerTo(wholeAnswer("r1", "body", "Content-Encoding: gzip\r\n")).outcome.run, execution::MayHaveRun);
+    EXPECT_EQ(answerTo(completeAnswer("r1", "body", "Content-Encoding: gzip\r\n")).outcome.run, execution::MayHaveRun);
     EXPECT_EQ(answerTo("HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 0\r\n\r\n").outcome.run, execution::MayHaveRun);
 }
 
-TEST(ServerAnswers, SayThatARequestHasNotRunOnlyInTheServersWords)
+TEST(ServerAnswers, ShowThatARequestHasNotRunOnlyIfTheServerSaysSo)
 {
     EXPECT_EQ(answerTo("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n").outcome.run, execution::NotRun);
     EXPECT_EQ(answerTo("HTTP/1.1 421 x\r\nContent-Length: 0\r\n\r\n").outcome.run, execution::NotRun);
-    auto own = answerTo("HTTP/1.1 503 x\r\nX-Id: r1\r\nX-Seal: s\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(own.outcome.run, execution::Ran);
-    EXPECT_EQ(own.status, 503U);
+    auto authentic = answerTo("HTTP/1.1 503 x\r\nX-Id: r1\r\nX-Seal: s\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_EQ(authentic.outcome.run, execution::Ran);
+    EXPECT_EQ(authentic.status, 503U);
 }
 
-// An answer to an earlier request comes late, where the next one is expected.
-TEST(ServerAnswers, ToAnotherRequestArePassedOver)
+// A delayed answer to an earlier request arrives where the answer to the next one is expected.
+TEST(ServerAnswers, ToAnotherRequestAreSkipped)
 {
-    exchange world;
-    auto result = world.send("r2");
-    auto connection = world.server.accept();
+    client_harness harness;
+    auto result = harness.send("r2");
+    auto connection = harness.server.accept();
     connection.readUntil("\r\n\r\n");
-    connection.send(wholeAnswer("r1", "late") + wholeAnswer("r2", "own"));
-    EXPECT_EQ(judged(result.get()).body, "own");
-    // Nothing more goes over such a connection.
-    auto next = world.send("r3");
-    auto fresh = world.server.accept();
-    fresh.readUntil("\r\n\r\n");
-    fresh.send(wholeAnswer("r3", "three"));
-    EXPECT_EQ(judged(next.get()).body, "three");
+    connection.send(completeAnswer("r1", "late") + completeAnswer("r2", "own"));
+    EXPECT_EQ(classified(result.get()).body, "own");
+    // The connection is not reused.
+    auto next = harness.send("r3");
+    auto newConnection = harness.server.accept();
+    newConnection.readUntil("\r\n\r\n");
+    newConnection.send(completeAnswer("r3", "three"));
+    EXPECT_EQ(classified(next.get()).body, "three");
 }
 
-TEST(ServerAnswers, WithBytesBehindThemEndTheirConnection)
+TEST(ServerAnswers, FollowedByExtraBytesEndTheirConnection)
 {
-    exchange world;
-    auto first = world.send("r1");
-    auto connection = world.server.accept();
+    client_harness harness;
+    auto first = harness.send("r1");
+    auto connection = harness.server.accept();
     connection.readUntil("\r\n\r\n");
-    connection.send(wholeAnswer("r1", "one") + wholeAnswer("r1", "again"));
-    EXPECT_EQ(judged(first.get()).body, "one");
-    auto second = world.send("r2");
-    auto fresh = world.server.accept();
-    fresh.readUntil("\r\n\r\n");
-    fresh.send(wholeAnswer("r2", "two"));
-    EXPECT_EQ(judged(second.get()).body, "two");
+    connection.send(completeAnswer("r1", "one") + completeAnswer("r1", "again"));
+    EXPECT_EQ(classified(first.get()).body, "one");
+    auto second = harness.send("r2");
+    auto newConnection = harness.server.accept();
+    newConnection.readUntil("\r\n\r\n");
+    newConnection.send(completeAnswer("r2", "two"));
+    EXPECT_EQ(classified(second.get()).body, "two");
 }
 
-TEST(ServerAnswers, ThatCloseTheConnectionAreHeeded)
+TEST(ServerAnswers, WithConnectionCloseEndTheirConnection)
 {
-    exchange world;
-    auto first = world.send("r1");
-    auto connection = world.server.accept();
+    client_harness harness;
+    auto first = harness.send("r1");
+    auto connection = harness.server.accept();
     connection.readUntil("\r\n\r\n");
-    connection.send(wholeAnswer("r1", "one", "Connection: close\r\n"));
-    EXPECT_EQ(judged(first.get()).body, "one");
-    world.send("r2");
-    world.server.accept().readUntil("\r\n\r\n");
-    EXPECT_EQ(world.opened(), 2U);
+    connection.send(completeAnswer("r1", "one", "Connection: close\r\n"));
+    EXPECT_EQ(classified(first.get()).body, "one");
+    harness.send("r2");
+    harness.server.accept().readUntil("\r\n\r\n");
+    EXPECT_EQ(harness.connectionsOpened(), 2U);
 }
 
-// The rest of a body that the server did not wait for never meets another request.
+// The rest of a body that the server did not read must not be followed by another request.
 TEST(ServerAnswers, BeforeTheBodyIsReadEndTheirConnection)
 {
-    exchange world;
-    auto first = world.send("r1", std::string(std::size_t { 1 } << 25U, 'b'));
-    auto connection = world.server.accept();
+    client_harness harness;
+    auto first = harness.send("r1", std::string(std::size_t { 1 } << 25U, 'b'));
+    auto connection = harness.server.accept();
     connection.readUntil("\r\n\r\n");
-    connection.send(wholeAnswer("r1", "early"));
-    EXPECT_EQ(judged(first.get()).body, "early");
-    auto second = world.send("r2");
-    world.server.accept().readUntil("\r\n\r\n");
-    EXPECT_EQ(world.opened(), 2U);
+    connection.send(completeAnswer("r1", "early"));
+    EXPECT_EQ(classified(first.get()).body, "early");
+    auto second = harness.send("r2");
+    harness.server.accept().readUntil("\r\n\r\n");
+    EXPECT_EQ(harness.connectionsOpened(), 2U);
 }
 
-TEST(ServerAnswers, ThatNobodyWantsAreCancelledByClosing)
+TEST(ServerAnswers, OfCancelledRequestsAreStoppedByClosingTheConnection)
 {
-    exchange world;
-    auto result = world.send("r1");
-    auto connection = world.server.accept();
+    client_harness harness;
+    auto result = harness.send("r1");
+    auto connection = harness.server.accept();
     connection.readUntil("\r\n\r\n");
-    world.cancel();
+    harness.cancel();
     EXPECT_EQ(connection.readToEnd(), "");
 }
 
-TEST(ServerAnswers, OfAServerThatIsNotThereCannotHaveRun)
+TEST(ServerAnswers, OfAnUnreachableServerShowThatTheRequestHasNotRun)
 {
-    exchange world;
-    std::string address = world.server.address();
+    client_harness harness;
+    std::string address = harness.server.address();
     {
-        exchange gone;
-        address = gone.server.address();
+        client_harness closed;
+        address = closed.server.address();
     }
     context_thread loop;
     instance_client client(loop.context, {});
@@ -231,7 +231,7 @@
     boost::asio::post(loop.context, [&] {
         client.send(address, "r1", { "GET", "/x", {}, "" }, [&](instance_result value) { result.set_value(std::move(value)); });
     });
-    EXPECT_EQ(judged(result.get_future().get()).outcome.run, execution::NotRun);
+    EXPECT_EQ(classified(result.get_future().get()).outcome.run, execution::NotRun);
 }
 
 }
--- a/Tests/ServerEnds/server_ends_test.cpp
+++ b/Tests/ServerEnds/server_ends_test.cpp
@@ -8,88 +8,88 @@
 
     using std::chrono::milliseconds;
 
-    // More than the time in which all connections of a server that ends break.
-    constexpr milliseconds settled { 50 };
-    constexpr milliseconds longAgo { 5000 };
+    // Longer than the time within which all connections of a server that ends break.
+    constexpr milliseconds settleTime { 50 };
+    constexpr milliseconds longTime { 5000 };
 
-    struct world {
-        server_end_detector runs;
+    struct detector_harness {
+        server_end_detector detector;
         server_start server { "i-1" };
-        request_fingerprint first = fingerprintOf("/a", "");
-        request_fingerprint second = fingerprintOf("/b", "");
-        server_end_detector::time_point now { longAgo };
+        request_fingerprint firstContent = fingerprintOf("/a", "");
+        request_fingerprint secondContent = fingerprintOf("/b", "");
+        server_end_detector::time_point now { longTime };
     };
 
 }
 
-TEST(ServerEnds, AreToldWithWhatWasLostOnceTheServerIsGone)
+TEST(ServerEnds, AreReportedWithTheLostRunsOnceTheServerIsGone)
 {
-    world world;
-    world.runs.runLost(world.server, world.first, world.now);
-    world.runs.runLost(world.server, world.second, world.now);
-    world.runs.runLost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.startProbeIfDue(world.now));
-    EXPECT_TRUE(world.runs.startProbeIfDue(world.now + settled));
-    EXPECT_FALSE(world.runs.startProbeIfDue(world.now + settled));
-    auto end = world.runs.probed(server_presence::Gone, world.now + settled);
+    detector_harness harness;
+    harness.detector.runLost(harness.server, harness.firstContent, harness.now);
+    harness.detector.runLost(harness.server, harness.secondContent, harness.now);
+    harness.detector.runLost(harness.server, harness.firstContent, harness.now);
+    EXPECT_FALSE(harness.detector.startProbeIfDue(harness.now));
+    EXPECT_TRUE(harness.detector.startProbeIfDue(harness.now + settleTime));
+    EXPECT_FALSE(harness.detector.startProbeIfDue(harness.now + settleTime));
+    auto end = harness.detector.probed(server_presence::Gone, harness.now + settleTime);
     ASSERT_TRUE(end);
-    EXPECT_EQ(end->start, world.server);
+    EXPECT_EQ(end->start, harness.server);
     EXPECT_EQ(end->running.size(), 2U);
-    EXPECT_FALSE(world.runs.probed(server_presence::Gone, world.now + settled));
+    EXPECT_FALSE(harness.detector.probed(server_presence::Gone, harness.now + settleTime));
 }
 
-TEST(ServerEnds, AreNotTakenFromAnAnswerThatWasLostAlone)
+TEST(ServerEnds, AreNotReportedForALostAnswerAlone)
 {
-    world world;
-    world.runs.runLost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.probed(server_presence::Connected, world.now));
-    EXPECT_FALSE(world.runs.startProbeIfDue(world.now + settled));
-    EXPECT_FALSE(world.runs.probed(server_presence::Gone, world.now + settled));
-    world.runs.runLost(world.server, world.second, world.now + longAgo);
-    EXPECT_TRUE(world.runs.startProbeIfDue(world.now + longAgo + settled));
-    EXPECT_EQ(world.runs.probed(server_presence::Gone, world.now + longAgo + settled)->running, std::vector { world.second });
+    detector_harness harness;
+    harness.detector.runLost(harness.server, harness.firstContent, harness.now);
+    EXPECT_FALSE(harness.detector.probed(server_presence::Connected, harness.now));
+    EXPECT_FALSE(harness.detector.startProbeIfDue(harness.now + settleTime));
+    EXPECT_FALSE(harness.detector.probed(server_presence::Gone, harness.now + settleTime));
+    harness.detector.runLost(harness.server, harness.secondContent, harness.now + longTime);
+    EXPECT_TRUE(harness.detector.startProbeIfDue(harness.now + longTime + settleTime));
+    EXPECT_EQ(harness.detector.probed(server_presence::Gone, harness.now + longTime + settleTime)->running, std::vector { harness.secondContent });
 }
 
-TEST(ServerEnds, HaveWhatWasCancelledAMomentBefore)
+TEST(ServerEnds, IncludeRunsCancelledShortlyBefore)
 {
-    world world;
-    world.runs.runCancelled(world.first, world.now - longAgo);
-    world.runs.runCancelled(world.second, world.now);
-    EXPECT_FALSE(world.runs.startProbeIfDue(world.now + settled));
-    auto lost = fingerprintOf("/c", "");
-    world.runs.runLost(world.server, lost, world.now);
-    auto end = world.runs.probed(server_presence::Gone, world.now + settled);
+    detector_harness harness;
+    harness.detector.runCancelled(harness.firstContent, harness.now - longTime);
+    harness.detector.runCancelled(harness.secondContent, harness.now);
+    EXPECT_FALSE(harness.detector.startProbeIfDue(harness.now + settleTime));
+    auto lostContent = fingerprintOf("/c", "");
+    harness.detector.runLost(harness.server, lostContent, harness.now);
+    auto end = harness.detector.probed(server_presence::Gone, harness.now + settleTime);
     ASSERT_TRUE(end);
     EXPECT_EQ(end->running.size(), 2U);
-    EXPECT_EQ(std::count(end->running.begin(), end->running.end(), world.first), 0);
+    EXPECT_EQ(std::count(end->running.begin(), end->running.end(), harness.firstContent), 0);
 }
 
-TEST(ServerEnds, KeepTheStartsOfAServerApart)
+TEST(ServerEnds, DoNotIncludeLostRunsOfAnEarlierStart)
 {
-    world world;
-    world.runs.runLost({ "i-0" }, world.first, world.now);
-    world.runs.runLost(world.server, world.second, world.now);
-    EXPECT_TRUE(world.runs.startProbeIfDue(world.now + settled));
-    EXPECT_EQ(world.runs.probed(server_presence::Gone, world.now + settled)->running, std::vector { world.second });
+    detector_harness harness;
+    harness.detector.runLost({ "i-0" }, harness.firstContent, harness.now);
+    harness.detector.runLost(harness.server, harness.secondContent, harness.now);
+    EXPECT_TRUE(harness.detector.startProbeIfDue(harness.now + settleTime));
+    EXPECT_EQ(harness.detector.probed(server_presence::Gone, harness.now + settleTime)->running, std::vector { harness.secondContent });
 }
 
-TEST(ServerEnds, AreToldByTheNextStartWhereTheServerIsBackAtOnce)
+TEST(ServerEnds, AreReportedWhenTheNextStartIsIdentified)
 {
-    world world;
-    world.runs.runLost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.probed(server_presence::Reachable, world.now + settled));
-    auto end = world.runs.serverIdentified({ "i-2" }, world.now + longAgo);
+    detector_harness harness;
+    harness.detector.runLost(harness.server, harness.firstContent, harness.now);
+    EXPECT_FALSE(harness.detector.probed(server_presence::Reachable, harness.now + settleTime));
+    auto end = harness.detector.serverIdentified({ "i-2" }, harness.now + longTime);
     ASSERT_TRUE(end);
-    EXPECT_EQ(end->start, world.server);
-    world.runs.runLost(world.server, world.first, world.now);
-    EXPECT_FALSE(world.runs.serverIdentified(world.server, world.now));
-    EXPECT_TRUE(world.runs.inDoubt());
-    EXPECT_FALSE(world.runs.probed(server_presence::Reachable, world.now + settled));
-    EXPECT_FALSE(world.runs.serverIdentified(world.server, world.now + settled));
-    EXPECT_FALSE(world.runs.inDoubt());
+    EXPECT_EQ(end->start, harness.server);
+    harness.detector.runLost(harness.server, harness.firstContent, harness.now);
+    EXPECT_FALSE(harness.detector.serverIdentified(harness.server, harness.now));
+    EXPECT_TRUE(harness.detector.inDoubt());
+    EXPECT_FALSE(harness.detector.probed(server_presence::Reachable, harness.now + settleTime));
+    EXPECT_FALSE(harness.detector.serverIdentified(harness.server, harness.now + settleTime));
+    EXPECT_FALSE(harness.detector.inDoubt());
 }
 
-TEST(ServerEnds, NameContentsByPathAndBodyAlone)
+TEST(ServerEnds, IdentifyContentsByPathAndBodyOnly)
 {
     EXPECT_EQ(fingerprintOf("/a", "b"), fingerprintOf("/a", "b"));
     EXPECT_NE(fingerprintOf("/a", "b"), fingerprintOf("/a", "c"));
--- a/Tests/ServerTracker/server_tracker_test.cpp
+++ b/Tests/ServerTracker/server_tracker_test.cpp
@@ -22,7 +22,7 @@
         return server_tracker::wall_time(std::chrono::seconds(seconds));
     }
 
-    // Of the start of the server i-1 that came so many seconds after some moment.
+    // A report of the start of server i-1 that began this many seconds after the epoch.
     server_report reportOfStart(int bornSeconds, std::uint64_t sequence, server_condition condition = server_condition::Ready)
     {
         auto report = reportOf("i-1", sequence, condition);
@@ -32,7 +32,7 @@
 
 }
 
-TEST(ServerTracker, IgnoresAReportThatIsLate)
+TEST(ServerTracker, IgnoresAnOutdatedReport)
 {
     server_tracker tracker;
     EXPECT_EQ(tracker.report(reportOf("i-1", 5, server_condition::Draining)), report_effect::Leaving);
@@ -40,7 +40,7 @@
     EXPECT_FALSE(tracker.takesWork());
 }
 
-TEST(ServerTracker, NeverTakesBackThatAServerLeaves)
+TEST(ServerTracker, KeepsALeavingServerLeaving)
 {
     server_tracker tracker;
     tracker.report(reportOf("i-1", 1));
@@ -49,9 +49,9 @@
     EXPECT_FALSE(tracker.takesWork());
 }
 
-// A report that a cut held back comes after its sender crashed and another start
+// A report delayed by a network partition arrives after its sender crashed and another server
 // registered at the same address.
-TEST(ServerTracker, IgnoresAServerThatWasReplaced)
+TEST(ServerTracker, IgnoresAReplacedServer)
 {
     server_tracker tracker;
     tracker.report(reportOf("i-1", 7));
@@ -61,8 +61,9 @@
     EXPECT_TRUE(tracker.takesWork());
 }
 
-// The process may have started after the old server's last report, and not know it.
-TEST(ServerTracker, ReturnsToTheServerThatALateReportPushedAside)
+// A process that started after the old server was replaced takes the old server's delayed report for a
+// new start.
+TEST(ServerTracker, RestoresTheServerThatADelayedReportReplaced)
 {
     server_tracker tracker;
     tracker.report(reportOf("new", 3));
@@ -75,7 +76,7 @@
     EXPECT_EQ(tracker.report(reportOf("new", 4)), report_effect::Updated);
 }
 
-TEST(ServerTracker, KnowsNobodyAfterTheOnlyServerWasAnother)
+TEST(ServerTracker, KnowsNoServerAfterTheOnlyOneWasMisdirected)
 {
     server_tracker tracker;
     tracker.report(reportOf("i-1", 3));
@@ -84,8 +85,8 @@
     EXPECT_FALSE(tracker.takesWork());
 }
 
-// A server that starts again under its id begins its counts anew.
-TEST(ServerTracker, TakesALaterStartOfTheSameIdWhateverItsSequence)
+// A server that restarts under the same id restarts its sequence numbers.
+TEST(ServerTracker, AcceptsALaterStartOfTheSameIdWithAnySequence)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(10, 900));
@@ -94,19 +95,19 @@
     EXPECT_TRUE(tracker.takesWork());
 }
 
-TEST(ServerTracker, TakesAStartAgainOfAServerThatLeft)
+TEST(ServerTracker, AcceptsALaterStartOfAServerThatLeft)
 {
-    for (auto lastWord : { server_condition::Draining, server_condition::Left }) {
+    for (auto lastCondition : { server_condition::Draining, server_condition::Left }) {
         server_tracker tracker;
         tracker.report(reportOfStart(10, 5));
-        tracker.report(reportOfStart(10, 6, lastWord));
+        tracker.report(reportOfStart(10, 6, lastCondition));
         EXPECT_FALSE(tracker.takesWork());
         EXPECT_EQ(tracker.report(reportOfStart(20, 1)), report_effect::Replaced);
         EXPECT_TRUE(tracker.takesWork());
     }
 }
 
-TEST(ServerTracker, IgnoresAllThatAnEarlierStartOfTheIdSays)
+TEST(ServerTracker, IgnoresAllReportsOfAnEarlierStartOfTheSameId)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(20, 1));
@@ -117,8 +118,8 @@
     EXPECT_EQ(tracker.current()->sequence, 1U);
 }
 
-// The server of another id was there in between.
-TEST(ServerTracker, TakesALaterStartOfAnIdThatWasReplaced)
+// A server with another id is current in between.
+TEST(ServerTracker, AcceptsALaterStartOfAReplacedId)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(10, 7));
@@ -128,7 +129,7 @@
     EXPECT_EQ(tracker.current()->start.instanceId, "i-1");
 }
 
-TEST(ServerTracker, TakesADeregistrationOfALaterStartForTheServer)
+TEST(ServerTracker, AppliesADeregistrationOfALaterStartToTheServer)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(10, 7));
@@ -138,8 +139,8 @@
     EXPECT_FALSE(tracker.takesWork());
 }
 
-// It may be the start that is there: to send it nothing is safe.
-TEST(ServerTracker, ObeysADeregistrationThatNamesNoStart)
+// The deregistration may be from the current start, and sending it no requests is safe.
+TEST(ServerTracker, AppliesADeregistrationWithoutAStartTime)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(10, 7));
@@ -150,8 +151,8 @@
     EXPECT_EQ(tracker.report(reportOfStart(20, 1)), report_effect::Replaced);
 }
 
-// A server that says when it started says so each time.
-TEST(ServerTracker, TakesNoHeartbeatWithoutAStartFromAServerThatTellsIt)
+// A server that reports its start time does so in every report.
+TEST(ServerTracker, RejectsAHeartbeatThatLacksTheExpectedStartTime)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(10, 7));
@@ -160,7 +161,7 @@
     EXPECT_EQ(tracker.current()->sequence, 7U);
 }
 
-TEST(ServerTracker, DoesNotReturnToAnEarlierStartOfTheServerThatIsNotThere)
+TEST(ServerTracker, DoesNotRestoreAnEarlierStartOfTheMisdirectedServer)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(10, 7));
@@ -169,8 +170,8 @@
     EXPECT_FALSE(tracker.current());
 }
 
-// Seen by the node itself, before anyone reports: nothing goes to a port that is closed.
-TEST(ServerTracker, GivesNothingToAServerThatHasEndedUntilItReports)
+// The node itself detects the end, before any report. No requests are sent to a closed port.
+TEST(ServerTracker, SendsNothingToAnEndedServerUntilItReports)
 {
     server_tracker tracker;
     tracker.report(reportOf("i-1", 1));
@@ -180,7 +181,7 @@
     EXPECT_FALSE(tracker.takesWork());
     EXPECT_EQ(tracker.report(reportOf("i-1", 1)), report_effect::Nothing);
     EXPECT_FALSE(tracker.takesWork());
-    // It is there after all.
+    // A newer report shows that the server is still running.
     EXPECT_EQ(tracker.report(reportOf("i-1", 2)), report_effect::Updated);
     EXPECT_TRUE(tracker.takesWork());
     tracker.ended({ "i-1" });
@@ -188,10 +189,10 @@
     EXPECT_TRUE(tracker.takesWork());
 }
 
-// A node's process that has just started hears first that the server leaves, by a deregistration
-// that names no start; a heartbeat that the server sent before comes late. It may have been
-// acknowledged, so that nothing new may reach the server.
-TEST(ServerTracker, TakesNoLateReportOfAServerThatLeftBeforeItWasKnown)
+// The first report to a node process that has just started is a deregistration without a start time. A
+// heartbeat that the server sent earlier arrives after it. The deregistration may have been
+// acknowledged, so the server must not get any new requests.
+TEST(ServerTracker, IgnoresADelayedReportOfAServerThatDeregisteredBeforeItWasKnown)
 {
     server_tracker tracker;
     tracker.report(reportOf("i-1", 0, server_condition::Left));
@@ -212,8 +213,8 @@
     EXPECT_TRUE(tracker.takesWork());
 }
 
-// A late report must not bring back a deregistered start that is later than the known one.
-TEST(ServerTracker, IgnoresALateReportOfAnUnknownStartThatDeregistered)
+// A delayed report must not bring back a deregistered start that is later than the known one.
+TEST(ServerTracker, IgnoresADelayedReportOfAnUnknownStartThatDeregistered)
 {
     server_tracker tracker;
     tracker.report(reportOfStart(10, 7), wallTime(20));
--- a/Tests/StartVerification/start_verification_test.cpp
+++ b/Tests/StartVerification/start_verification_test.cpp
@@ -52,12 +52,12 @@
 
 TEST(StartVerification, ReadsHealthAnswers)
 {
-    const http_fields own { { "Vanillashunt-Instance-Id", "i-1" } };
-    EXPECT_EQ(readHealthAnswer({ 200, own, "" }, "i-1"), server_health::Serving);
-    EXPECT_EQ(readHealthAnswer({ 200, own, "" }, "i-2"), server_health::NotServing);
-    EXPECT_EQ(readHealthAnswer({ 503, own, "" }, "i-1"), server_health::NotServing);
+    const http_fields ownFields { { "Vanillashunt-Instance-Id", "i-1" } };
+    EXPECT_EQ(readHealthAnswer({ 200, ownFields, "" }, "i-1"), server_health::Serving);
+    EXPECT_EQ(readHealthAnswer({ 200, ownFields, "" }, "i-2"), server_health::NotServing);
+    EXPECT_EQ(readHealthAnswer({ 503, ownFields, "" }, "i-1"), server_health::NotServing);
     EXPECT_EQ(readHealthAnswer({ 503, { { "Vanillashunt-Not-Executed", "1" } }, "" }, "i-1"), server_health::Unknown);
-    EXPECT_EQ(readHealthAnswer({ 404, own, "" }, "i-1"), server_health::Unknown);
+    EXPECT_EQ(readHealthAnswer({ 404, ownFields, "" }, "i-1"), server_health::Unknown);
 }
 
 }
