--- a/Source/node/poison_share.h
+++ b/Source/node/poison_share.h
@@ -12,7 +12,7 @@
 
 namespace vanillashunt {
 
-struct poison_share_hooks {
+struct replicated_poison_ledger_hooks {
     // What is known has a newer version, of which the others are to hear at once.
     std::function<void()> changed;
     // Returns a random number below its argument.
@@ -26,10 +26,10 @@
 // that only the store connects. Who saw an end tells the first of its zone's nodes that follow
 // the document, which gathers what several saw together, and writes it; where that one does not
 // do so, the witness does. A node that does not reach the store tells some others, which tell on.
-class poison_share {
+class replicated_poison_ledger {
 public:
     // The store and the client outlive it.
-    poison_share(boost::asio::io_context&, key_value_store&, peer_rpc&, std::uint64_t selfId, std::string availabilityZone, poison_share_hooks);
+    replicated_poison_ledger(boost::asio::io_context&, key_value_store&, peer_rpc&, std::uint64_t selfId, std::string availabilityZone, replicated_poison_ledger_hooks);
 
     void start() { m_watched.start(); }
     void setMembers(const member_list&);
@@ -86,7 +86,7 @@
     key_value_store& m_store;
     peer_rpc& m_peers;
     std::uint64_t m_selfId;
-    poison_share_hooks m_hooks;
+    replicated_poison_ledger_hooks m_hooks;
     member_list m_members;
     poison_ledger m_ledger;
     boost::asio::steady_timer m_saveTimer;
--- a/Source/node/routed_process.cpp
+++ b/Source/node/routed_process.cpp
@@ -84,7 +84,7 @@
         routed_stop_hooks stopHooks();
         key_value_store_hooks storeHooks();
         route_watch_hooks routeHooks();
-        poison_share_hooks poisonHooks();
+        replicated_poison_ledger_hooks poisonHooks();
         pipeline_server_hooks serverHooks();
         membership_hooks membershipHooks();
         server_report_hooks reportHooks();
@@ -111,7 +111,7 @@
         member m_self;
         routed_calls m_calls;
         route_watch m_routes;
-        poison_share m_poison;
+        replicated_poison_ledger m_poison;
         std::unique_ptr<quota_service> m_quotas;
         std::unique_ptr<pipeline_server> m_clients;
         std::unique_ptr<http_server> m_reports;
@@ -245,9 +245,9 @@
         return hooks;
     }
 
-    poison_share_hooks routed_process::poisonHooks()
+    replicated_poison_ledger_hooks routed_process::poisonHooks()
     {
-        poison_share_hooks hooks;
+        replicated_poison_ledger_hooks hooks;
         hooks.changed = [this] { m_membership->spreadSoon(); };
         hooks.chance = [this](std::uint64_t bound) { return m_random() % bound; };
         hooks.wallNow = [] { return std::chrono::system_clock::now(); };
--- a/Source/node/server_runs.cpp
+++ b/Source/node/server_runs.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-void server_runs::askWhetherThere(const std::function<void(server_presence)>& handler)
+void server_runs::checkPresence(const std::function<void(server_presence)>& handler)
 {
     if (m_client.hasOpenConnection()) {
         handler(server_presence::Connected);
@@ -67,7 +67,7 @@
         }
     }
     if (marks.load || marks.isLoadUnreadable) {
-        m_hooks.loadTold(start, marks.load);
+        m_hooks.loadReported(start, marks.load);
     }
     m_hooks.answered(runId, classifyAnswer(std::move(result), marks));
 }
--- a/Source/node/server_runs.h
+++ b/Source/node/server_runs.h
@@ -23,7 +23,7 @@
     // The server at the address is another one than was meant.
     std::function<void(const server_start&)> misdirected;
     // That start of the server told its load; nothing where it cannot be read.
-    std::function<void(const server_start&, const std::optional<server_load>&)> loadTold;
+    std::function<void(const server_start&, const std::optional<server_load>&)> loadReported;
 };
 
 // The requests that are with the server beside this node, in the headers that the
@@ -42,7 +42,7 @@
     void closeIdle() { m_client.closeIdle(); }
 
     // Tells whether the server is there: by an open connection, or by opening one.
-    void askWhetherThere(const std::function<void(server_presence)>&);
+    void checkPresence(const std::function<void(server_presence)>&);
 
     const instance_client_counts& counts() const { return m_client.counts(); }
 
