--- a/Source/node/node_process.cpp
+++ b/Source/node/node_process.cpp
@@ -1,7 +1,7 @@
 #include "node/node_process.h"
 
+#include "backend/backend_health_monitor.h"
 #include "backend/backend_port.h"
-#include "backend/backend_watch.h"
 #include "events/event_catalogue.h"
 #include "node/call_actor.h"
 #include "node/configuration_service.h"
@@ -106,7 +106,7 @@
         asio::signal_set m_signals { m_context, SIGTERM, SIGINT };
         member m_self;
         std::optional<backend_announcement> m_announcement;
-        std::unique_ptr<backend_watch> m_backendWatch;
+        std::unique_ptr<backend_health_monitor> m_backendWatch;
         planned_stop m_stop { m_settings.drainTimeout };
         bool m_refusesCallers = false;
         member_list m_members;
@@ -165,7 +165,7 @@
         m_callerServer = std::make_unique<http_server>(m_context, settings.caller.listen, callerLimits,
             [this](http_request request, const std::shared_ptr<http_exchange>& exchange) { handleCallerRequest(std::move(request), exchange); });
         bindPeerPort();
-        m_backendWatch = std::make_unique<backend_watch>(m_context, *m_backend, [this](bool offered) { advertiseBackend(offered); });
+        m_backendWatch = std::make_unique<backend_health_monitor>(m_context, *m_backend, [this](bool offered) { advertiseBackend(offered); });
         backend_port_hooks hooks;
         hooks.announced = [this](const backend_announcement& announcement) { backendAnnounced(announcement); };
         hooks.withdrawn = [this] { backendWithdrawn(); };
@@ -252,7 +252,7 @@
         }
         m_announcement = announcement;
         m_host->send(m_calls, backend_announced { announcement });
-        advertiseBackend(m_backendWatch->offered());
+        advertiseBackend(m_backendWatch->isHealthy());
     }
 
     // Tells the other nodes which service they may call at this node: none while the
--- a/Source/node/server_runs.cpp
+++ b/Source/node/server_runs.cpp
@@ -17,7 +17,7 @@
     // Makes the client check that an answer belongs to the request.
     instance_client_settings withAnswerCheck(instance_client_settings settings)
     {
-        settings.belongs = [](const http_response& response, const std::string& requestId) {
+        settings.isAnswerTo = [](const http_response& response, const std::string& requestId) {
             return answersRequest(readAnswerMarks(response.fields), requestId);
         };
         return settings;
@@ -70,7 +70,7 @@
     if (marks.load || marks.isLoadUnreadable) {
         m_hooks.loadReported(start, marks.load);
     }
-    m_hooks.answered(runId, judgeAnswer(std::move(result), marks));
+    m_hooks.answered(runId, classifyAnswer(std::move(result), marks));
 }
 
 }
