--- a/Source/command/contract_apply.cpp
+++ b/Source/command/contract_apply.cpp
@@ -69,7 +69,7 @@
         if (standing.empty()) {
             return "the contract of customer '" + file.terms.organisation + "' does not stand any more; apply with --base 0";
         }
-        return describeLostRace(seen, readStored(standing.front()));
+        return describeConcurrentChange(seen, readStored(standing.front()));
     }
 
     // What came of it if the first swap may have taken effect, and a later one did not.
--- a/Source/contract/contract_book.cpp
+++ b/Source/contract/contract_replica.cpp
@@ -1,4 +1,4 @@
-#include "contract/contract_book.h"
+#include "contract/contract_replica.h"
 
 #include "contract/parse_contract.h"
 
@@ -6,7 +6,7 @@
 
 namespace vanillashunt {
 
-bool contract_book::takeEntry(const contract_entry& entry, contract_set& next)
+bool contract_replica::mergeEntry(const contract_entry& entry, contract_set& next)
 {
     auto parsed = parseContract(entry.text, "contract");
     const auto* terms = std::get_if<contract>(&parsed);
@@ -22,7 +22,7 @@
     return true;
 }
 
-bool contract_book::take(const contract_news& news)
+bool contract_replica::merge(const contract_update& news)
 {
     auto next = std::make_shared<contract_set>(*m_contracts);
     bool changed = false;
@@ -31,7 +31,7 @@
         if (entry.revision <= m_contracts->revision) {
             continue;
         }
-        changed = takeEntry(entry, *next) || changed;
+        changed = mergeEntry(entry, *next) || changed;
     }
     // News that begin after what is known here may leave a gap, which the
     // revision must not hide from those who ask for what they lack.
@@ -45,9 +45,9 @@
     return changed;
 }
 
-contract_news contract_book::newsSince(std::int64_t revision) const
+contract_update contract_replica::updateSince(std::int64_t revision) const
 {
-    contract_news news;
+    contract_update news;
     news.since = revision;
     news.revision = m_contracts->revision;
     for (const auto& [organisation, stored] : m_contracts->byOrganisation) {
--- a/Source/contract/contract_book.h
+++ b/Source/contract/contract_replica.h
@@ -16,7 +16,7 @@
 };
 
 // Contracts that the store or a peer has.
-struct contract_news {
+struct contract_update {
     std::vector<contract_entry> entries;
     // With the entries, whoever knew all up to the revision "since" knows all up to this.
     std::int64_t since = 0;
@@ -25,13 +25,13 @@
 
 // The newest contracts that this node has seen. Neither a contract nor the
 // whole ever goes back to a lower revision, whatever the store answers.
-class contract_book {
+class contract_replica {
 public:
     // Takes what is newer; returns whether anything was.
-    bool take(const contract_news&);
+    bool merge(const contract_update&);
 
     // What somebody needs who has all up to that revision.
-    contract_news newsSince(std::int64_t revision) const;
+    contract_update updateSince(std::int64_t revision) const;
 
     contract_snapshot contracts() const { return m_contracts; }
     std::int64_t revision() const { return m_contracts->revision; }
@@ -40,7 +40,7 @@
     std::uint64_t unreadable() const { return m_unreadable; }
 
 private:
-    bool takeEntry(const contract_entry&, contract_set& next);
+    bool mergeEntry(const contract_entry&, contract_set& next);
 
     contract_snapshot m_contracts = std::make_shared<contract_set>();
     std::uint64_t m_unreadable = 0;
--- a/Source/contract/diff_contracts.cpp
+++ b/Source/contract/diff_contracts.cpp
@@ -105,7 +105,7 @@
     return differences;
 }
 
-std::string describeLostRace(const stored_contract& seen, const stored_contract& found)
+std::string describeConcurrentChange(const stored_contract& seen, const stored_contract& found)
 {
     std::string listed;
     for (const auto& difference : diffContracts(seen.terms, found.terms)) {
--- a/Source/contract/diff_contracts.h
+++ b/Source/contract/diff_contracts.h
@@ -36,6 +36,6 @@
 
 // Tells an operator, who changed the contract as of the first revision, what
 // somebody else had changed by the second, and what to do now.
-std::string describeLostRace(const stored_contract& seen, const stored_contract& found);
+std::string describeConcurrentChange(const stored_contract& seen, const stored_contract& found);
 
 }
--- a/Source/node/configuration_service.cpp
+++ b/Source/node/configuration_service.cpp
@@ -26,11 +26,11 @@
     constexpr milliseconds longestBackoff { 15000 };
     constexpr std::uint32_t mostDoublings = 5;
 
-    contract_news newsOf(const store_range& range, std::int64_t since)
+    contract_update newsOf(const store_range& range, std::int64_t since)
     {
         // The store's own revision rises with every claim and seed; only the
         // contracts' revisions are to set the fleet in motion.
-        contract_news news;
+        contract_update news;
         news.since = since;
         for (const auto& entry : range.entries) {
             news.entries.push_back({ entry.value, entry.modRevision });
@@ -39,7 +39,7 @@
         return news;
     }
 
-    Json::Value toJson(const contract_news& news)
+    Json::Value toJson(const contract_update& news)
     {
         Json::Value value;
         value["since"] = Json::Int64(news.since);
@@ -54,12 +54,12 @@
         return value;
     }
 
-    std::optional<contract_news> readNews(const Json::Value& value)
+    std::optional<contract_update> readNews(const Json::Value& value)
     {
         if (!value.isObject() || !value["since"].isInt64() || !value["revision"].isInt64() || !value["contracts"].isArray()) {
             return std::nullopt;
         }
-        contract_news news;
+        contract_update news;
         news.since = value["since"].asInt64();
         news.revision = value["revision"].asInt64();
         for (const auto& item : value["contracts"]) {
@@ -194,9 +194,9 @@
     m_nextRead = std::chrono::steady_clock::now() + spread(backoff);
 }
 
-bool configuration_service::take(const contract_news& news)
+bool configuration_service::take(const contract_update& news)
 {
-    if (!m_book.take(news)) {
+    if (!m_book.merge(news)) {
         return false;
     }
     m_hooks.contractsChanged(m_book.contracts());
@@ -240,7 +240,7 @@
 
 Json::Value configuration_service::newsSince(std::int64_t revision) const
 {
-    return toJson(m_book.newsSince(revision));
+    return toJson(m_book.updateSince(revision));
 }
 
 Json::Value configuration_service::dump() const
--- a/Source/node/configuration_service.h
+++ b/Source/node/configuration_service.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "contract/contract_book.h"
+#include "contract/contract_replica.h"
 #include "decision/member.h"
 #include "operator/peer_rpc.h"
 #include "store/store_client.h"
@@ -66,7 +66,7 @@
     Json::Value dump() const;
 
 private:
-    bool take(const contract_news&);
+    bool take(const contract_update&);
     void scheduleStep(std::chrono::milliseconds);
     void step();
     bool isDutyWatcher() const;
@@ -83,7 +83,7 @@
     configuration_settings m_settings;
     configuration_hooks m_hooks;
     boost::asio::steady_timer m_timer;
-    contract_book m_book;
+    contract_replica m_book;
     member_list m_members;
     std::unique_ptr<store_watch> m_watch;
     // The watch ended; it is let go outside of its own call.
--- a/Tests/ContractBook/contract_book_test.cpp
+++ b/Tests/ContractBook/contract_book_test.cpp
@@ -1,4 +1,4 @@
-#include "contract/contract_book.h"
+#include "contract/contract_replica.h"
 
 #include <gtest/gtest.h>
 
@@ -50,9 +50,9 @@
         }
 
         // What somebody is told who knows all up to "since", as the store stood at "upTo".
-        contract_news news(std::int64_t since, std::int64_t upTo) const
+        contract_update news(std::int64_t since, std::int64_t upTo) const
         {
-            contract_news told;
+            contract_update told;
             told.since = since;
             for (std::size_t number = 0; number < organisationCount; ++number) {
                 auto organisation = organisationName(number);
@@ -92,7 +92,7 @@
                 addWatched();
                 return;
             case 3:
-                m_underWay.push_back(anyBook().newsSince(anyBook().revision()));
+                m_underWay.push_back(anyBook().updateSince(anyBook().revision()));
                 return;
             default:
                 deliver();
@@ -104,7 +104,7 @@
         {
             take(m_books[0], m_store.news(0, m_store.revision()));
             for (std::size_t i = 1; i < bookCount; ++i) {
-                take(m_books[i], m_books[i - 1].newsSince(m_books[i].revision()));
+                take(m_books[i], m_books[i - 1].updateSince(m_books[i].revision()));
             }
         }
 
@@ -119,7 +119,7 @@
 
     private:
         std::uint64_t below(std::uint64_t bound) { return m_random() % bound; }
-        contract_book& anyBook() { return m_books[below(bookCount)]; }
+        contract_replica& anyBook() { return m_books[below(bookCount)]; }
 
         void addWatched()
         {
@@ -136,16 +136,16 @@
             take(anyBook(), m_underWay[below(m_underWay.size())]);
         }
 
-        static std::int64_t revisionOf(const contract_book& book, const std::string& organisation)
+        static std::int64_t revisionOf(const contract_replica& book, const std::string& organisation)
         {
             auto found = book.contracts()->byOrganisation.find(organisation);
             return found == book.contracts()->byOrganisation.end() ? 0 : found->second.revision;
         }
 
-        void take(contract_book& book, const contract_news& news)
+        void take(contract_replica& book, const contract_update& news)
         {
             auto before = book.contracts();
-            bool changed = book.take(news);
+            bool changed = book.merge(news);
             EXPECT_EQ(changed, before != book.contracts());
             EXPECT_GE(book.revision(), before->revision);
             for (const auto& [organisation, stored] : before->byOrganisation) {
@@ -162,8 +162,8 @@
 
         std::mt19937_64 m_random;
         written_history m_store;
-        contract_book m_books[bookCount];
-        std::vector<contract_news> m_underWay;
+        contract_replica m_books[bookCount];
+        std::vector<contract_update> m_underWay;
     };
 
 }
@@ -183,27 +183,27 @@
 
 TEST(ContractBook, ARevisionBeyondAGapIsNotClaimed)
 {
-    contract_book book;
-    EXPECT_TRUE(book.take({ { { textOf("hotel-1", 3), 3 } }, 0, 3 }));
-    EXPECT_TRUE(book.take({ { { textOf("hotel-2", 9), 9 } }, 6, 9 }));
+    contract_replica book;
+    EXPECT_TRUE(book.merge({ { { textOf("hotel-1", 3), 3 } }, 0, 3 }));
+    EXPECT_TRUE(book.merge({ { { textOf("hotel-2", 9), 9 } }, 6, 9 }));
     EXPECT_EQ(book.revision(), 3);
-    EXPECT_TRUE(book.take({ { { textOf("hotel-1", 5), 5 } }, 3, 9 }));
+    EXPECT_TRUE(book.merge({ { { textOf("hotel-1", 5), 5 } }, 3, 9 }));
     EXPECT_EQ(book.revision(), 9);
     EXPECT_EQ(book.contracts()->byOrganisation.at("hotel-1").revision, 5);
 }
 
 TEST(ContractBook, AnEntryWithoutARevisionIsNoContract)
 {
-    contract_book book;
-    EXPECT_TRUE(book.take({ { { textOf("hotel-1", 0), 0 }, { textOf("hotel-2", 4), 4 } }, 0, 4 }));
+    contract_replica book;
+    EXPECT_TRUE(book.merge({ { { textOf("hotel-1", 0), 0 }, { textOf("hotel-2", 4), 4 } }, 0, 4 }));
     EXPECT_EQ(book.contracts()->byOrganisation.count("hotel-1"), 0U);
 }
 
 TEST(ContractBook, AnUnreadableEntryIsCountedOnce)
 {
-    contract_book book;
-    EXPECT_TRUE(book.take({ { { "not = a contract", 4 } }, 0, 4 }));
-    EXPECT_FALSE(book.take({ { { "not = a contract", 4 } }, 0, 4 }));
+    contract_replica book;
+    EXPECT_TRUE(book.merge({ { { "not = a contract", 4 } }, 0, 4 }));
+    EXPECT_FALSE(book.merge({ { { "not = a contract", 4 } }, 0, 4 }));
     EXPECT_EQ(book.revision(), 4);
     EXPECT_EQ(book.unreadable(), 1U);
 }
--- a/Tests/ContractLimits/contract_limits_test.cpp
+++ b/Tests/ContractLimits/contract_limits_test.cpp
@@ -152,7 +152,7 @@
     EXPECT_EQ(deadline.change, contract_change::ClassChanged);
     EXPECT_EQ(deadline.requestClass + " " + deadline.key, "desk-reply deadline");
     changed.idempotent = false;
-    EXPECT_EQ(describeLostRace({ before, "", 7 }, { { "seri", 0.4, { changed, history() } }, "", 9 }),
+    EXPECT_EQ(describeConcurrentChange({ before, "", 7 }, { { "seri", 0.4, { changed, history() } }, "", 9 }),
         "customer seri was changed from revision 7 to 9 by somebody else: class desk-reply deadline 2s -> 3s. Nothing of yours was applied; make your change to revision 9 and apply it again");
 }
 
