--- a/Source/contract/check_contract.cpp
+++ b/Source/contract/check_contract.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-    // Shares such as 0.7, 0.2 and 0.1 add up to a little more than 1 in binary.
+    // Tolerance for sums in binary floating point: shares such as 0.7, 0.2 and 0.1 add up
+    // to slightly more than 1.
     constexpr double roundingError = 1e-9;
 
     std::optional<std::string> findExcessShares(const contract& terms, const contract_set& others, const std::string& service)
@@ -31,11 +32,11 @@
 
 std::optional<std::string> findImpossibleDeadline(const request_class& candidate)
 {
-    auto needed = leastTryTime * (1 + candidate.retries);
+    auto needed = minAttemptTime * (1 + candidate.retries);
     if (candidate.deadline >= needed) {
         return std::nullopt;
     }
-    return "deadline is \"" + formatDuration(candidate.deadline) + "\", but the first try and " + std::to_string(candidate.retries) + " retries need " + formatDuration(leastTryTime) + " each; write at least deadline = \"" + formatDuration(needed) + "\", or fewer retries";
+    return "deadline is \"" + formatDuration(candidate.deadline) + "\", but the first attempt and " + std::to_string(candidate.retries) + " retries need " + formatDuration(minAttemptTime) + " each; write at least deadline = \"" + formatDuration(needed) + "\", or fewer retries";
 }
 
 std::vector<text_problem> checkAgainstOthers(const contract& terms, const contract_set& others, const std::string& fileName)
--- a/Source/contract/check_contract.h
+++ b/Source/contract/check_contract.h
@@ -9,17 +9,17 @@
 
 namespace vanillashunt {
 
-// Time that a try needs at the very least; a deadline has to hold one for the
-// first try and for each retry.
-constexpr std::chrono::milliseconds leastTryTime { 10 };
+// Minimum time that one attempt needs. A deadline must leave this much for the first
+// attempt and for each retry.
+constexpr std::chrono::milliseconds minAttemptTime { 10 };
 
-// Says what is wrong with a class whose deadline leaves no time for its retries.
+// Returns an error message if the deadline of a class leaves too little time for its retries.
 std::optional<std::string> findImpossibleDeadline(const request_class&);
 
-// Checks a contract, each part of which is allowed, beside the contracts of the
-// other organisations; one of the same organisation is taken as replaced. For each
-// service where a class of the contract enters, the shares of all organisations
-// with a class that enters there must add up to at most 1.
+// Checks a contract, whose keys are each valid, against the contracts of the other
+// organisations. It replaces a contract of the same organisation, which is therefore
+// ignored. For each service where a class of the contract enters, the shares of all
+// organisations with a class that enters there must add up to at most 1.
 std::vector<text_problem> checkAgainstOthers(const contract&, const contract_set& others, const std::string& fileName = "");
 
 }
--- a/Source/contract/contract_replica.cpp
+++ b/Source/contract/contract_replica.cpp
@@ -22,21 +22,21 @@
     return true;
 }
 
-bool contract_replica::merge(const contract_update& news)
+bool contract_replica::merge(const contract_update& update)
 {
     auto next = std::make_shared<contract_set>(*m_contracts);
     bool changed = false;
-    for (const auto& entry : news.entries) {
-        // All up to the own revision is known, and need not be read again.
+    for (const auto& entry : update.entries) {
+        // Contracts up to the replica's own revision are known and need no parsing.
         if (entry.revision <= m_contracts->revision) {
             continue;
         }
         changed = mergeEntry(entry, *next) || changed;
     }
-    // News that begin after what is known here may leave a gap, which the
-    // revision must not hide from those who ask for what they lack.
-    if (news.since <= m_contracts->revision && news.revision > m_contracts->revision) {
-        next->revision = news.revision;
+    // An update that starts after the replica's revision may leave a gap. Raising the
+    // revision would hide the gap from later requests for missing contracts.
+    if (update.since <= m_contracts->revision && update.revision > m_contracts->revision) {
+        next->revision = update.revision;
         changed = true;
     }
     if (changed) {
@@ -47,15 +47,15 @@
 
 contract_update contract_replica::updateSince(std::int64_t revision) const
 {
-    contract_update news;
-    news.since = revision;
-    news.revision = m_contracts->revision;
+    contract_update update;
+    update.since = revision;
+    update.revision = m_contracts->revision;
     for (const auto& [organisation, stored] : m_contracts->byOrganisation) {
         if (stored.revision > revision) {
-            news.entries.push_back({ stored.text, stored.revision });
+            update.entries.push_back({ stored.text, stored.revision });
         }
     }
-    return news;
+    return update;
 }
 
 }
--- a/Source/contract/contract_replica.h
+++ b/Source/contract/contract_replica.h
@@ -8,35 +8,37 @@
 
 namespace vanillashunt {
 
-// A contract as the store or a peer tells of it, not yet read.
+// A contract as received from the store or a peer, not yet parsed.
 struct contract_entry {
     std::string text;
     // The store's revision of the write that accepted it.
     std::int64_t revision = 0;
 };
 
-// Contracts that the store or a peer has.
+// Contracts as sent by the store or a peer: at least those that changed after the store
+// revision "since".
 struct contract_update {
     std::vector<contract_entry> entries;
-    // With the entries, whoever knew all up to the revision "since" knows all up to this.
+    // A receiver that is complete up to "since" is complete up to "revision" with the entries.
     std::int64_t since = 0;
     std::int64_t revision = 0;
 };
 
-// The newest contracts that this node has seen. Neither a contract nor the
-// whole ever goes back to a lower revision, whatever the store answers.
+// The newest contracts that this node has received, merged from the store and from peers.
+// Neither a single contract nor the replica as a whole ever returns to a lower revision,
+// whatever the store answers.
 class contract_replica {
 public:
-    // Takes what is newer; returns whether anything was.
+    // Merges the contracts that are newer than the known ones. Returns whether the replica changed.
     bool merge(const contract_update&);
 
-    // What somebody needs who has all up to that revision.
+    // Returns what a peer lacks that is complete up to the given revision.
     contract_update updateSince(std::int64_t revision) const;
 
     contract_snapshot contracts() const { return m_contracts; }
     std::int64_t revision() const { return m_contracts->revision; }
 
-    // How often an entry could not be read as a contract, since the start.
+    // Number of times since the start that an entry could not be parsed as a contract.
     std::uint64_t unreadable() const { return m_unreadable; }
 
 private:
--- a/Source/contract/derive_limits.cpp
+++ b/Source/contract/derive_limits.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-    std::vector<service_part> deriveParts(const contract& terms, const contract_set& all)
+    std::vector<service_allocation> deriveAllocations(const contract& terms, const contract_set& all)
     {
-        std::vector<service_part> parts;
+        std::vector<service_allocation> allocations;
         for (const auto& service : entryServices(terms)) {
             double sum = 0;
             for (const auto& [organisation, other] : all.byOrganisation) {
                 sum += entersAt(other.terms, service) ? other.terms.share : 0;
             }
-            parts.push_back({ service, sum, terms.share / sum });
+            allocations.push_back({ service, sum, terms.share / sum });
         }
-        return parts;
+        return allocations;
     }
 
     organisation_limits deriveOrganisationLimits(const stored_contract& stored, const contract_set& all)
@@ -28,7 +28,7 @@
         organisation_limits limits;
         limits.weight = stored.terms.share;
         limits.revision = stored.revision;
-        limits.services = deriveParts(stored.terms, all);
+        limits.services = deriveAllocations(stored.terms, all);
         for (const auto& terms : stored.terms.classes) {
             limits.classes.push_back(deriveClassLimits(terms));
         }
@@ -48,7 +48,7 @@
     class_limits limits;
     limits.terms = terms;
     limits.band = sheddingBand(terms.level);
-    limits.retryTokens = std::min(terms.retries, retryBound);
+    limits.retryTokens = std::min(terms.retries, maxRetries);
     limits.refusalBudget = 1 - terms.target;
     if (!terms.idempotent) {
         limits.ledgerRetention = ticketLifetime;
--- a/Source/contract/derive_limits.h
+++ b/Source/contract/derive_limits.h
@@ -11,44 +11,47 @@
 
 namespace vanillashunt {
 
-// The shedding positions of one importance; both ends belong to it.
+// The range of shedding positions of one importance, both ends included.
 struct shedding_band {
     shedding_position first = 0;
     shedding_position last = 0;
 };
 
-// What the nodes enforce for one class.
+// The limits that the nodes enforce for one class.
 struct class_limits {
     request_class terms;
     shedding_band band;
-    // For all calls of one whole request together.
+    // Retries for all calls of one whole request together.
     std::uint32_t retryTokens = 0;
     // Fraction of whole requests that may go unanswered.
     double refusalBudget = 0;
-    // How long the home remembers a request, from its ticket's making: as long as it
-    // takes the ticket, or until the run ends. Zero for an idempotent class, which needs none.
+    // How long the home node of a ticket keeps the request in its ledger, from when the ticket
+    // was issued: until the ticket expires, or until the run ends if that is later. Zero for an
+    // idempotent class, which needs no ticket.
     std::chrono::milliseconds ledgerRetention { 0 };
 };
 
-// An organisation's part of one service where its requests enter.
-struct service_part {
+// An organisation's allocation of one service where its requests enter.
+struct service_allocation {
     std::string service;
-    // Of all organisations with a class that enters there.
+    // Sum over all organisations with a class that enters at the service.
     double sumOfShares = 0;
-    // What the organisation has of the service while all of them have requests waiting.
-    double part = 0;
+    // Fraction of the service's capacity that the organisation gets while all of these
+    // organisations have requests waiting.
+    double fraction = 0;
 };
 
-// What the nodes enforce for one organisation.
+// The limits that the nodes enforce for one organisation.
 struct organisation_limits {
-    // Capacity under overload is divided in proportion to the weights of those who wait.
+    // Under overload, capacity is divided in proportion to the weights of the organisations
+    // that have requests waiting.
     double weight = 0;
     std::int64_t revision = 0;
-    std::vector<service_part> services;
+    std::vector<service_allocation> services;
     std::vector<class_limits> classes;
 };
 
-// Everything that follows from the contracts in force.
+// All limits derived from the contracts in force.
 struct derived_limits {
     std::map<std::string, organisation_limits> byOrganisation;
     std::int64_t revision = 0;
--- a/Source/contract/diff_contracts.cpp
+++ b/Source/contract/diff_contracts.cpp
@@ -24,7 +24,7 @@
         return value ? "true" : "false";
     }
 
-    // Adds a difference for each key of one class whose values differ.
+    // Collects a difference for each key of one class whose values differ.
     class class_comparison {
     public:
         class_comparison(const std::string& name, std::vector<contract_difference>& differences)
@@ -63,7 +63,7 @@
         if (before.organisation != after.organisation) {
             differences.push_back({ contract_change::OrganisationChanged, "", "customer", before.organisation, after.organisation });
         }
-        // The same text reads back as the same number, so that equality is exact.
+        // Exact comparison is right: the same text always parses to the same number.
         if (before.share != after.share) {
             differences.push_back({ contract_change::ShareChanged, "", "share", formatReal(before.share), formatReal(after.share) });
         }
@@ -105,16 +105,16 @@
     return differences;
 }
 
-std::string describeConcurrentChange(const stored_contract& seen, const stored_contract& found)
+std::string describeConcurrentChange(const stored_contract& base, const stored_contract& current)
 {
     std::string listed;
-    for (const auto& difference : diffContracts(seen.terms, found.terms)) {
+    for (const auto& difference : diffContracts(base.terms, current.terms)) {
         listed += (listed.empty() ? "" : "; ") + toString(difference);
     }
     if (listed.empty()) {
         listed = "its terms are the same";
     }
-    return "customer " + found.terms.organisation + " was changed from revision " + std::to_string(seen.revision) + " to " + std::to_string(found.revision) + " by somebody else: " + listed + ". Nothing of yours was applied; make your change to revision " + std::to_string(found.revision) + " and apply it again";
+    return "customer " + current.terms.organisation + " was changed from revision " + std::to_string(base.revision) + " to " + std::to_string(current.revision) + " by somebody else: " + listed + ". Your change was not applied; base it on revision " + std::to_string(current.revision) + " and apply it again";
 }
 
 }
--- a/Source/contract/entry_services.h
+++ b/Source/contract/entry_services.h
@@ -7,10 +7,10 @@
 
 namespace vanillashunt {
 
-// Whether a class of the contract enters at the service.
+// Returns whether a class of the contract enters at the service.
 bool entersAt(const contract&, const std::string& service);
 
-// The services where the contract's classes enter.
+// Returns the services where the contract's classes enter.
 std::set<std::string> entryServices(const contract&);
 
 }
--- a/Source/contract/explain_contract.cpp
+++ b/Source/contract/explain_contract.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-    std::string explainPart(double share, const service_part& service)
+    std::string explainAllocation(double share, const service_allocation& service)
     {
         return "  part of " + service.service + " = share / sum of shares there = " + formatReal(share) + " / " + formatRounded(service.sumOfShares)
-            + " = " + formatRounded(service.part) + ", while all customers there have requests waiting\n";
+            + " = " + formatRounded(service.fraction) + ", while all customers there have requests waiting\n";
     }
 
-    std::string explainBand(const class_limits& limits)
+    std::string explainSheddingBand(const class_limits& limits)
     {
         auto positions = std::to_string(positionsPerImportance);
         return "  shedding band = importance x " + positions + ", and " + positions + " positions from there = "
@@ -23,7 +23,7 @@
 
     std::string explainRetries(const class_limits& limits)
     {
-        return "  retry tokens = min(retries, bound) = min(" + std::to_string(limits.terms.retries) + ", " + std::to_string(retryBound) + ") = "
+        return "  retry tokens = min(retries, bound) = min(" + std::to_string(limits.terms.retries) + ", " + std::to_string(maxRetries) + ") = "
             + std::to_string(limits.retryTokens) + ", for all calls of one request together\n";
     }
 
@@ -39,8 +39,8 @@
     {
         const auto& terms = limits.terms;
         return "class " + terms.name + ": " + terms.method + " " + terms.service + " " + terms.pathPrefix + "\n"
-            + "  time = min(deadline, what the caller still waits) = at most " + formatDuration(terms.deadline) + "\n"
-            + explainBand(limits)
+            + "  time = min(deadline, time that the caller still waits) = at most " + formatDuration(terms.deadline) + "\n"
+            + explainSheddingBand(limits)
             + explainRetries(limits)
             + "  refusal budget = 1 - target = 1 - " + formatReal(terms.target) + " = " + formatRounded(limits.refusalBudget) + " of the requests\n"
             + explainLedger(limits);
@@ -55,13 +55,13 @@
     if (found == limits.byOrganisation.end()) {
         return std::nullopt;
     }
-    const auto& own = found->second;
-    std::string text = "customer " + organisation + ", revision " + std::to_string(own.revision) + "\n"
-        + "  weight = share = " + formatReal(own.weight) + "\n";
-    for (const auto& service : own.services) {
-        text += explainPart(own.weight, service);
+    const auto& organisationLimits = found->second;
+    std::string text = "customer " + organisation + ", revision " + std::to_string(organisationLimits.revision) + "\n"
+        + "  weight = share = " + formatReal(organisationLimits.weight) + "\n";
+    for (const auto& service : organisationLimits.services) {
+        text += explainAllocation(organisationLimits.weight, service);
     }
-    for (const auto& classLimits : own.classes) {
+    for (const auto& classLimits : organisationLimits.classes) {
         text += "\n" + explainClass(classLimits);
     }
     return text;
--- a/Source/contract/explain_contract.h
+++ b/Source/contract/explain_contract.h
@@ -7,8 +7,8 @@
 
 namespace vanillashunt {
 
-// Shows how each limit of an organisation follows from its contract, a line for each
-// with its formula. Gives nothing for an organisation without a contract in force.
+// Shows how each limit of an organisation is derived from its contract, one line with the
+// formula for each. Returns nothing if the organisation has no contract in force.
 std::optional<std::string> explainContract(const contract_set&, const std::string& organisation);
 
 }
--- a/Source/contract/nearest_word.cpp
+++ b/Source/contract/nearest_word.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-    // The largest share of a word that may be mistyped.
-    constexpr std::size_t lettersPerTypingError = 3;
-    // No candidate is longer, and the distance to a longer word would cost time for nothing.
-    constexpr std::size_t longestWord = 64;
+    // A candidate matches if it differs by at most one edit for this many characters of the word;
+    // one edit is always allowed.
+    constexpr std::size_t charactersPerTypo = 3;
+    // No candidate is longer than this. Computing the distance to a longer word would only cost time.
+    constexpr std::size_t maxWordLength = 64;
 
-    // The Levenshtein distance: single letters to insert, delete or replace.
+    // Returns the Levenshtein distance: the number of characters to insert, delete or replace.
     std::size_t editDistance(const std::string& from, const std::string& to)
     {
         std::vector<std::size_t> row(to.size() + 1);
@@ -33,17 +34,17 @@
 
 std::optional<std::string> nearestWord(const std::string& word, const std::vector<std::string>& candidates)
 {
-    if (word.size() > longestWord) {
+    if (word.size() > maxWordLength) {
         return std::nullopt;
     }
     std::optional<std::string> nearest;
-    std::size_t least = std::max<std::size_t>(1, word.size() / lettersPerTypingError) + 1;
+    std::size_t bestDistance = std::max<std::size_t>(1, word.size() / charactersPerTypo) + 1;
     for (const auto& candidate : candidates) {
         auto distance = editDistance(word, candidate);
-        if (distance >= least) {
+        if (distance >= bestDistance) {
             continue;
         }
-        least = distance;
+        bestDistance = distance;
         nearest = candidate;
     }
     return nearest;
--- a/Source/contract/nearest_word.h
+++ b/Source/contract/nearest_word.h
@@ -6,7 +6,8 @@
 
 namespace vanillashunt {
 
-// Finds what a mistyped word was meant to be; nothing if no candidate is near.
+// Returns the candidate that is most similar to a mistyped word, or nothing if none is
+// similar enough.
 std::optional<std::string> nearestWord(const std::string& word, const std::vector<std::string>& candidates);
 
 }
--- a/Source/contract/parse_contract.cpp
+++ b/Source/contract/parse_contract.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds leastDeadline { 10 };
-    constexpr std::chrono::milliseconds longestDeadline { 60000 };
+    constexpr std::chrono::milliseconds minDeadline { 10 };
+    constexpr std::chrono::milliseconds maxDeadline { 60000 };
 
     const toml_key organisationKey { "customer", "\"hotel-seri\"" };
     const toml_key shareKey { "share", "0.4" };
@@ -30,21 +30,22 @@
 
     const toml_rule<double> shareRule { [](double share) { return share > 0 && share <= 1; }, "a number above 0 and at most 1" };
     const toml_rule<double> targetRule { [](double target) { return target > 0 && target < 1; }, "a number above 0 and below 1" };
-    const toml_rule<std::int64_t> retriesRule = integerRule(0, retryBound);
-    const toml_rule<std::chrono::milliseconds> deadlineRule = durationRule(leastDeadline, longestDeadline);
-    const toml_rule<std::string> methodRule = wordRule({ "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS" });
-    const toml_rule<std::string> importanceRule = wordRule({ "deferrable", "interactive", "confirmed" });
+    const toml_rule<std::int64_t> retriesRule = integerRule(0, maxRetries);
+    const toml_rule<std::chrono::milliseconds> deadlineRule = durationRule(minDeadline, maxDeadline);
+    const toml_rule<std::string> methodRule = choiceRule({ "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS" });
+    const toml_rule<std::string> importanceRule = choiceRule({ "deferrable", "interactive", "confirmed" });
 
-    // Where a request enters; no two classes of a contract share one.
+    // Service, method and path prefix; no two classes of a contract may have the same ones.
     using entry_key = std::tuple<std::string, std::string, std::string>;
 
-    // Reads one [[class]] table; what was wrong is in the reader's problems.
+    // Reads one [[class]] table. Keys that are missing or invalid get a default and are reported
+    // to the reader's problem list.
     request_class readClass(toml_reader& reader)
     {
         request_class result;
         result.name = reader.readString(nameKey, nameRule()).value_or("");
         if (!result.name.empty()) {
-            reader.setPlace("class " + quoteToml(result.name));
+            reader.setContext("class " + quoteToml(result.name));
         }
         result.service = reader.readString(serviceKey, nameRule()).value_or("");
         result.method = reader.readString(methodKey, methodRule).value_or("");
@@ -52,39 +53,39 @@
         result.idempotent = reader.readBoolean(idempotentKey).value_or(true);
         auto level = reader.readString(importanceKey, importanceRule);
         result.level = level ? *parseImportance(*level) : importance::Deferrable;
-        result.deadline = reader.readDuration(deadlineKey, deadlineRule).value_or(longestDeadline);
+        result.deadline = reader.readDuration(deadlineKey, deadlineRule).value_or(maxDeadline);
         result.target = reader.readReal(targetKey, targetRule).value_or(0);
         result.retries = static_cast<std::uint32_t>(reader.readInteger(retriesKey, retriesRule).value_or(0));
         reader.reportUnknownKeys();
         return result;
     }
 
-    // Finds what is wrong between the keys of a class that are each allowed.
+    // Reports conflicts between the keys of a class that are each valid.
     void checkClass(const request_class& candidate, toml_reader& reader)
     {
         if (candidate.method == "GET" && candidate.level == importance::Confirmed && !candidate.idempotent) {
-            reader.report(methodKey, "method is \"GET\", but importance is \"confirmed\" and idempotent is false, and a GET must be safe to repeat; write idempotent = true, or take the method that changes something, for example method = \"POST\"");
+            reader.report(methodKey, "method is \"GET\", but importance is \"confirmed\" and idempotent is false, and a GET must be safe to repeat; write idempotent = true, or use a method that changes state, for example method = \"POST\"");
         }
         if (auto message = findImpossibleDeadline(candidate)) {
             reader.report(deadlineKey, *message);
         }
     }
 
-    // Remembers the names and entries of the classes read, and on which lines they are.
-    class class_register {
+    // Records the names and entries of the classes read with their lines, and reports duplicates.
+    class class_registry {
     public:
         void add(const request_class& candidate, int line, toml_reader& reader)
         {
-            auto [name, newName] = m_names.try_emplace(candidate.name, line);
-            if (!candidate.name.empty() && !newName) {
-                reader.report(nameKey, "name is used by the class on line " + std::to_string(name->second) + " already; give each class a name of its own");
+            auto [name, isNewName] = m_names.try_emplace(candidate.name, line);
+            if (!candidate.name.empty() && !isNewName) {
+                reader.report(nameKey, "name is already used by the class on line " + std::to_string(name->second) + "; give each class its own name");
             }
             if (candidate.service.empty() || candidate.method.empty()) {
                 return;
             }
-            auto [entry, newEntry] = m_entries.try_emplace({ candidate.service, candidate.method, candidate.pathPrefix }, line);
-            if (!newEntry) {
-                reader.report(serviceKey, "service, method and path are those of the class on line " + std::to_string(entry->second) + "; change one of the three, or merge the two classes");
+            auto [entry, isNewEntry] = m_entries.try_emplace({ candidate.service, candidate.method, candidate.pathPrefix }, line);
+            if (!isNewEntry) {
+                reader.report(serviceKey, "service, method and path are the same as those of the class on line " + std::to_string(entry->second) + "; change one of the three, or merge the two classes");
             }
         }
 
@@ -96,7 +97,7 @@
     std::vector<request_class> readClasses(const std::vector<const toml_node*>& tables, problem_list& problems)
     {
         std::vector<request_class> classes;
-        class_register known;
+        class_registry known;
         for (const auto* table : tables) {
             toml_reader reader(*table, "class number " + std::to_string(classes.size() + 1), problems);
             classes.push_back(readClass(reader));
--- a/Source/contract/parse_toml.cpp
+++ b/Source/contract/parse_toml.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-    // Ordered, so that the same text gives the same messages in the same order.
+    // Tables are std::map, so that the same text always gives the same messages in the same order.
     using toml_value = toml::basic_value<toml::discard_comments, std::map, std::vector>;
 
     int lineOf(const toml_value& value)
@@ -71,10 +71,11 @@
         return node;
     }
 
-    const std::string notToml = "this is not TOML: ";
+    const std::string syntaxErrorPrefix = "this is not TOML: ";
 
-    // The library ends a text with a newline of its own, and may stop behind that.
-    void moveIntoText(text_problem& problem, const std::string& text)
+    // The library appends a newline to the text and may report an error after it. Such an error
+    // is moved to the end of the text.
+    void clampToText(text_problem& problem, const std::string& text)
     {
         int lastLine = 1 + static_cast<int>(std::count(text.begin(), text.end(), '\n'));
         if (problem.line <= lastLine) {
@@ -97,13 +98,13 @@
         std::istringstream stream(text);
         return convert(toml::parse<toml::discard_comments, std::map, std::vector>(stream, fileName));
     } catch (const toml::exception& error) {
-        const auto& place = error.location();
-        auto problem = readTomlErrorText(error.what(), { fileName, static_cast<int>(place.line()), "", static_cast<int>(place.column()) });
-        problem.message.insert(0, notToml);
-        moveIntoText(problem, text);
+        const auto& errorLocation = error.location();
+        auto problem = readTomlErrorText(error.what(), { fileName, static_cast<int>(errorLocation.line()), "", static_cast<int>(errorLocation.column()) });
+        problem.message.insert(0, syntaxErrorPrefix);
+        clampToText(problem, text);
         return problem;
     } catch (const std::exception& error) {
-        return text_problem { fileName, 0, notToml + error.what() };
+        return text_problem { fileName, 0, syntaxErrorPrefix + error.what() };
     }
 }
 
--- a/Source/contract/problem_list.cpp
+++ b/Source/contract/problem_list.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // More would be read by nobody, and a large text of nonsense must not make a larger answer.
-    constexpr std::size_t mostProblems = 100;
+    // Nobody reads a longer list, and a large invalid text must not produce an even larger reply.
+    constexpr std::size_t maxProblems = 100;
 
 }
 
@@ -26,10 +26,10 @@
 {
     auto problems = m_problems;
     std::stable_sort(problems.begin(), problems.end(), [](const auto& a, const auto& b) { return a.line < b.line; });
-    if (problems.size() > mostProblems) {
-        auto left = problems.size() - mostProblems;
-        problems.resize(mostProblems);
-        problems.push_back({ m_file, 0, "there are " + std::to_string(left) + " more problems; mend these first" });
+    if (problems.size() > maxProblems) {
+        auto omitted = problems.size() - maxProblems;
+        problems.resize(maxProblems);
+        problems.push_back({ m_file, 0, "there are " + std::to_string(omitted) + " more problems; fix these first" });
     }
     return problems;
 }
--- a/Source/contract/problem_list.h
+++ b/Source/contract/problem_list.h
@@ -7,14 +7,15 @@
 
 namespace vanillashunt {
 
-// Gathers the problems of one text, so that all of them are told at once.
+// Collects the problems of one text, so that all of them are reported at once.
 class problem_list {
 public:
     explicit problem_list(std::string file);
 
     void add(int line, const std::string& message);
     bool isEmpty() const { return m_problems.empty(); }
-    // In the order of their lines; the last tells how many more there are beyond a bound.
+    // Returns the problems in the order of their lines. If there are too many, only the first ones,
+    // and a last one that gives the number of the others.
     std::vector<text_problem> sorted() const;
 
 private:
--- a/Source/contract/quantity.cpp
+++ b/Source/contract/quantity.cpp
@@ -13,15 +13,15 @@
         std::uint64_t factor;
     };
 
-    // Each list goes from the largest unit to the smallest, whose factor is 1.
+    // Both lists are ordered from the largest unit to the smallest, whose factor is 1.
     constexpr std::array<unit, 3> durationUnits { { { "min", 60000 }, { "s", 1000 }, { "ms", 1 } } };
     constexpr std::array<unit, 3> sizeUnits { { { "MiB", 1024UL * 1024 }, { "KiB", 1024 }, { "B", 1 } } };
 
-    constexpr std::size_t longestReal = 32;
-    constexpr int roundedDigits = 6;
+    constexpr std::size_t maxRealLength = 32;
+    constexpr int significantDigits = 6;
 
-    // A duration's count is signed, and a size must not wrap.
-    constexpr std::uint64_t largestCount = std::numeric_limits<std::int64_t>::max();
+    // The count of a duration is signed 64-bit, and a size must not overflow.
+    constexpr std::uint64_t maxCount = std::numeric_limits<std::int64_t>::max();
 
     template <typename Units>
     std::optional<std::uint64_t> parseQuantity(const std::string& text, const Units& units)
@@ -37,7 +37,7 @@
             if (suffix != candidate.suffix) {
                 continue;
             }
-            if (number > largestCount / candidate.factor) {
+            if (number > maxCount / candidate.factor) {
                 return std::nullopt;
             }
             return number * candidate.factor;
@@ -84,15 +84,15 @@
 
 std::string formatReal(double number)
 {
-    std::array<char, longestReal> digits {};
+    std::array<char, maxRealLength> digits {};
     auto [end, error] = std::to_chars(digits.data(), digits.data() + digits.size(), number);
     return std::string(digits.data(), end);
 }
 
 std::string formatRounded(double number)
 {
-    std::array<char, longestReal> digits {};
-    auto [end, error] = std::to_chars(digits.data(), digits.data() + digits.size(), number, std::chars_format::general, roundedDigits);
+    std::array<char, maxRealLength> digits {};
+    auto [end, error] = std::to_chars(digits.data(), digits.data() + digits.size(), number, std::chars_format::general, significantDigits);
     return std::string(digits.data(), end);
 }
 
--- a/Source/contract/text_problem.cpp
+++ b/Source/contract/text_problem.cpp
@@ -4,14 +4,14 @@
 
 std::string toString(const text_problem& problem)
 {
-    std::string place = problem.file;
+    std::string location = problem.file;
     if (problem.line > 0) {
-        place += ':' + std::to_string(problem.line);
+        location += ':' + std::to_string(problem.line);
     }
     if (problem.column > 0) {
-        place += ':' + std::to_string(problem.column);
+        location += ':' + std::to_string(problem.column);
     }
-    return place.empty() ? problem.message : place + ": " + problem.message;
+    return location.empty() ? problem.message : location + ": " + problem.message;
 }
 
 }
--- a/Source/contract/toml_error_text.h
+++ b/Source/contract/toml_error_text.h
@@ -6,10 +6,9 @@
 
 namespace vanillashunt {
 
-// Reads the drawing of several lines that toml11 makes of a syntax error: the
-// last place that it points at is where the reader stopped, and is nearer to the
-// fault than the location in the exception. Parts that can't be found keep the
-// values of the fallback.
-text_problem readTomlErrorText(const std::string& drawing, const text_problem& fallback);
+// Converts the multi-line error text of toml11 into a problem. The last position that the text
+// points at is where the parser stopped, which is closer to the error than the location in the
+// exception. Values that the text does not contain are taken from the fallback.
+text_problem readTomlErrorText(const std::string& errorText, const text_problem& fallback);
 
 }
--- a/Source/contract/toml_node.cpp
+++ b/Source/contract/toml_node.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-    // A longer string is cut in a message, which has to stay readable.
-    constexpr std::size_t longestShown = 80;
+    // Longer strings are shortened to keep messages readable; in bytes.
+    constexpr std::size_t maxDisplayedLength = 80;
     constexpr unsigned char firstPrintable = 0x20;
     constexpr unsigned char deleteCharacter = 0x7f;
 
@@ -28,20 +28,20 @@
         return escaped.data();
     }
 
-    // Keeps a UTF-8 character whole: its further bytes have the form 10xxxxxx.
+    // Does not split a UTF-8 character, whose continuation bytes have the form 10xxxxxx.
     std::string shorten(const std::string& text)
     {
-        if (text.size() <= longestShown) {
+        if (text.size() <= maxDisplayedLength) {
             return text;
         }
-        std::size_t end = longestShown;
+        std::size_t end = maxDisplayedLength;
         while (end > 0 && (static_cast<unsigned char>(text[end]) & 0xc0) == 0x80) {
             --end;
         }
         return text.substr(0, end) + "...";
     }
 
-    // Words for each kind of value.
+    // Describes each type of value.
     struct describer {
         std::string operator()(const toml_time&) const { return "a date or time"; }
         std::string operator()(bool value) const { return value ? "true" : "false"; }
--- a/Source/contract/toml_node.h
+++ b/Source/contract/toml_node.h
@@ -9,11 +9,11 @@
 
 struct toml_entry;
 
-// A date or time, which no key of ours takes.
+// A date or time. Its value is not kept, since no key has this type.
 struct toml_time {
 };
 
-// One value of a TOML text with the line that it stands on.
+// A value in a TOML text and its line, counted from 1.
 struct toml_node {
     using array = std::vector<toml_node>;
     using table = std::vector<toml_entry>;
@@ -22,16 +22,17 @@
     int line = 0;
 };
 
-// One key of a table and its value.
+// A key of a table and its value.
 struct toml_entry {
     std::string key;
     toml_node node;
 };
 
-// Names a value in a message: a short one as it would be written, others by their kind.
+// Describes a value in a message: a scalar as TOML writes it, with a long string shortened, and
+// other values by their type.
 std::string describe(const toml_node&);
 
-// Puts a text in quotation marks, escaped as TOML wants it.
+// Formats a text as a TOML basic string: in quotation marks and escaped.
 std::string quoteToml(const std::string&);
 
 }
--- a/Source/contract/toml_reader.cpp
+++ b/Source/contract/toml_reader.cpp
@@ -37,20 +37,20 @@
         return text ? parseSize(*text) : std::nullopt;
     }
 
-    std::string joinQuoted(const std::vector<std::string>& words)
+    std::string joinQuoted(const std::vector<std::string>& texts)
     {
         std::string joined;
-        for (const auto& word : words) {
-            joined += (joined.empty() ? "" : ", ") + quoteToml(word);
+        for (const auto& text : texts) {
+            joined += (joined.empty() ? "" : ", ") + quoteToml(text);
         }
         return joined;
     }
 
 }
 
-toml_reader::toml_reader(const toml_node& table, std::string place, problem_list& problems)
+toml_reader::toml_reader(const toml_node& table, std::string context, problem_list& problems)
     : m_node(table)
-    , m_place(std::move(place))
+    , m_context(std::move(context))
     , m_problems(problems)
 {
 }
@@ -66,14 +66,14 @@
     if (value && rule.accepts(*value)) {
         return value;
     }
-    reportValue(key, *node, rule.words);
+    reportValue(key, *node, rule.description);
     return std::nullopt;
 }
 
 std::optional<bool> toml_reader::readBoolean(const toml_key& key)
 {
-    static const toml_rule<bool> eitherOne { [](bool) { return true; }, "true or false" };
-    return read(key, eitherOne, convertTo<bool>);
+    static const toml_rule<bool> anyBoolean { [](bool) { return true; }, "true or false" };
+    return read(key, anyBoolean, convertTo<bool>);
 }
 
 std::optional<std::int64_t> toml_reader::readInteger(const toml_key& key, const toml_rule<std::int64_t>& rule)
@@ -109,7 +109,7 @@
     }
     const auto* items = std::get_if<toml_node::array>(&node->value);
     if (!items) {
-        reportValue(key, *node, "an array, each item " + rule.words);
+        reportValue(key, *node, "an array, each item " + rule.description);
         return {};
     }
     std::vector<std::string> accepted;
@@ -119,7 +119,7 @@
             accepted.push_back(*text);
             continue;
         }
-        reportLine(item.line, key.name + " holds " + describe(item) + ", but each item has to be " + rule.words + "; write for example " + key.name + " = " + key.example);
+        reportLine(item.line, key.name + " holds " + describe(item) + ", but each item has to be " + rule.description + "; write for example " + key.name + " = " + key.example);
     }
     return accepted;
 }
@@ -138,10 +138,10 @@
 {
     m_knownKeys.push_back(key.name);
     const auto* node = findEntry(key.name);
-    const std::string mend = ", but has to be a list of tables; begin each with a line [[" + key.name + "]]";
+    const std::string hint = ", but has to be a list of tables; begin each with a line [[" + key.name + "]]";
     const auto* items = node ? std::get_if<toml_node::array>(&node->value) : nullptr;
     if (node && !items) {
-        reportLine(node->line, key.name + " is " + describe(*node) + mend);
+        reportLine(node->line, key.name + " is " + describe(*node) + hint);
         return {};
     }
     if (!items || items->empty()) {
@@ -154,7 +154,7 @@
             tables.push_back(&item);
             continue;
         }
-        reportLine(item.line, key.name + " holds " + describe(item) + mend);
+        reportLine(item.line, key.name + " holds " + describe(item) + hint);
     }
     return tables;
 }
@@ -166,8 +166,8 @@
             continue;
         }
         auto nearest = nearestWord(entry.key, m_knownKeys);
-        std::string mend = nearest ? "did you mean " + quoteToml(*nearest) + "?" : "known here are " + joinQuoted(m_knownKeys);
-        reportLine(entry.node.line, "unknown key " + describe({ entry.key }) + "; " + mend);
+        std::string hint = nearest ? "did you mean " + quoteToml(*nearest) + "?" : "known keys are " + joinQuoted(m_knownKeys);
+        reportLine(entry.node.line, "unknown key " + describe({ entry.key }) + "; " + hint);
     }
 }
 
@@ -181,7 +181,7 @@
 {
     m_knownKeys.push_back(key.name);
     const auto* node = findEntry(key.name);
-    if (!node && key.need == presence::Required) {
+    if (!node && key.expectedPresence == presence::Required) {
         reportLine(m_node.line, key.name + " is missing; add it, for example " + key.name + " = " + key.example);
     }
     return node;
@@ -199,12 +199,12 @@
 
 void toml_reader::reportLine(int line, const std::string& message)
 {
-    m_problems.add(line, m_place.empty() ? message : m_place + ": " + message);
+    m_problems.add(line, m_context.empty() ? message : m_context + ": " + message);
 }
 
-void toml_reader::reportValue(const toml_key& key, const toml_node& node, const std::string& words)
+void toml_reader::reportValue(const toml_key& key, const toml_node& node, const std::string& description)
 {
-    reportLine(node.line, key.name + " is " + describe(node) + ", but has to be " + words + "; write for example " + key.name + " = " + key.example);
+    reportLine(node.line, key.name + " is " + describe(node) + ", but has to be " + description + "; write for example " + key.name + " = " + key.example);
 }
 
 }
--- a/Source/contract/toml_rules.cpp
+++ b/Source/contract/toml_rules.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-    // The length of a DNS label, so that a name may become one.
-    constexpr std::size_t longestName = 63;
-    constexpr std::size_t longestPath = 512;
+    // The maximum length of a DNS label, so that a name can be used as one.
+    constexpr std::size_t maxNameLength = 63;
+    constexpr std::size_t maxPathLength = 512;
 
     bool isNameCharacter(char character)
     {
@@ -19,10 +19,10 @@
 
     bool isName(const std::string& text)
     {
-        return !text.empty() && text.size() <= longestName && std::all_of(text.begin(), text.end(), isNameCharacter);
+        return !text.empty() && text.size() <= maxNameLength && std::all_of(text.begin(), text.end(), isNameCharacter);
     }
 
-    // What may stand in a path of HTTP, before a query or fragment.
+    // Returns whether the character is allowed in an HTTP path, before a query or fragment.
     bool isPathCharacter(char character)
     {
         return character > ' ' && character < '\x7f' && character != '?' && character != '#';
@@ -30,48 +30,48 @@
 
     bool isPath(const std::string& text)
     {
-        return !text.empty() && text.front() == '/' && text.size() <= longestPath && std::all_of(text.begin(), text.end(), isPathCharacter);
+        return !text.empty() && text.front() == '/' && text.size() <= maxPathLength && std::all_of(text.begin(), text.end(), isPathCharacter);
     }
 
 }
 
-toml_rule<std::int64_t> integerRule(std::int64_t least, std::int64_t most)
+toml_rule<std::int64_t> integerRule(std::int64_t min, std::int64_t max)
 {
-    auto accepts = [=](std::int64_t value) { return value >= least && value <= most; };
-    return { accepts, "an integer from " + std::to_string(least) + " to " + std::to_string(most) };
+    auto accepts = [=](std::int64_t value) { return value >= min && value <= max; };
+    return { accepts, "an integer from " + std::to_string(min) + " to " + std::to_string(max) };
 }
 
-toml_rule<std::chrono::milliseconds> durationRule(std::chrono::milliseconds least, std::chrono::milliseconds most)
+toml_rule<std::chrono::milliseconds> durationRule(std::chrono::milliseconds min, std::chrono::milliseconds max)
 {
-    auto accepts = [=](std::chrono::milliseconds value) { return value >= least && value <= most; };
-    return { accepts, "a duration from " + formatDuration(least) + " to " + formatDuration(most) + ", in whole ms, s or min" };
+    auto accepts = [=](std::chrono::milliseconds value) { return value >= min && value <= max; };
+    return { accepts, "a duration from " + formatDuration(min) + " to " + formatDuration(max) + ", in whole ms, s or min" };
 }
 
-toml_rule<std::uint64_t> sizeRule(std::uint64_t least, std::uint64_t most)
+toml_rule<std::uint64_t> sizeRule(std::uint64_t min, std::uint64_t max)
 {
-    auto accepts = [=](std::uint64_t value) { return value >= least && value <= most; };
-    return { accepts, "a size from " + formatSize(least) + " to " + formatSize(most) + ", in whole B, KiB or MiB" };
+    auto accepts = [=](std::uint64_t value) { return value >= min && value <= max; };
+    return { accepts, "a size from " + formatSize(min) + " to " + formatSize(max) + ", in whole B, KiB or MiB" };
 }
 
-toml_rule<std::string> wordRule(const std::vector<std::string>& words)
+toml_rule<std::string> choiceRule(const std::vector<std::string>& choices)
 {
-    auto accepts = [words](const std::string& value) { return std::find(words.begin(), words.end(), value) != words.end(); };
+    auto accepts = [choices](const std::string& value) { return std::find(choices.begin(), choices.end(), value) != choices.end(); };
     std::string listed;
-    for (const auto& word : words) {
-        listed += (listed.empty() ? "" : ", ") + quoteToml(word);
+    for (const auto& choice : choices) {
+        listed += (listed.empty() ? "" : ", ") + quoteToml(choice);
     }
     return { accepts, "one of " + listed };
 }
 
 const toml_rule<std::string>& nameRule()
 {
-    static const toml_rule<std::string> rule { isName, "a name of 1 to " + std::to_string(longestName) + " of a-z, 0-9 and \"-\"" };
+    static const toml_rule<std::string> rule { isName, "a name of 1 to " + std::to_string(maxNameLength) + " characters from a-z, 0-9 and \"-\"" };
     return rule;
 }
 
 const toml_rule<std::string>& pathRule()
 {
-    static const toml_rule<std::string> rule { isPath, std::string("a path that begins with \"/\", without spaces, \"?\" or \"#\", of at most ") + std::to_string(longestPath) + " characters" };
+    static const toml_rule<std::string> rule { isPath, std::string("a path that begins with \"/\", without spaces, \"?\" or \"#\", of at most ") + std::to_string(maxPathLength) + " characters" };
     return rule;
 }
 
--- a/Source/contract/toml_rules.h
+++ b/Source/contract/toml_rules.h
@@ -9,18 +9,18 @@
 
 namespace vanillashunt {
 
-// Both bounds are allowed values.
-toml_rule<std::int64_t> integerRule(std::int64_t least, std::int64_t most);
-toml_rule<std::chrono::milliseconds> durationRule(std::chrono::milliseconds least, std::chrono::milliseconds most);
-toml_rule<std::uint64_t> sizeRule(std::uint64_t least, std::uint64_t most);
+// Rules that accept the values between two bounds, both included.
+toml_rule<std::int64_t> integerRule(std::int64_t min, std::int64_t max);
+toml_rule<std::chrono::milliseconds> durationRule(std::chrono::milliseconds min, std::chrono::milliseconds max);
+toml_rule<std::uint64_t> sizeRule(std::uint64_t min, std::uint64_t max);
 
-// One of the words.
-toml_rule<std::string> wordRule(const std::vector<std::string>& words);
+// Accepts one of the given texts.
+toml_rule<std::string> choiceRule(const std::vector<std::string>& choices);
 
-// A name of the contracts: 1 to 63 of a-z, 0-9 and "-".
+// Accepts a name in a contract: 1 to 63 characters from a-z, 0-9 and "-".
 const toml_rule<std::string>& nameRule();
 
-// The beginning of a request's path.
+// Accepts a prefix of a request's path.
 const toml_rule<std::string>& pathRule();
 
 }
--- a/Source/settings/format_settings.cpp
+++ b/Source/settings/format_settings.cpp
@@ -14,7 +14,7 @@
         return key + " = " + quoteToml(value) + "\n";
     }
 
-    // One item a line, because the length of a line is bounded.
+    // Puts each item on its own line, because the length of a line is bounded (maxTomlLineLength).
     std::string formatStrings(const std::string& key, const std::vector<std::string>& values)
     {
         std::string text = key + " = [";
--- a/Source/settings/format_settings.h
+++ b/Source/settings/format_settings.h
@@ -6,7 +6,8 @@
 
 namespace vanillashunt {
 
-// Writes every setting with its value in force, so that parseSettings reads the same back.
+// Formats all settings as TOML, with defaults written out. parseSettings returns the same settings
+// again.
 std::string formatSettings(const node_settings&);
 
 }
--- a/Source/settings/ip_endpoint.cpp
+++ b/Source/settings/ip_endpoint.cpp
@@ -12,7 +12,7 @@
 
     using ip_bytes = std::array<unsigned char, sizeof(in6_addr)>;
 
-    // The bytes after an IPv4 number's four stay zero.
+    // An IPv4 address fills the first four bytes; the others are zero.
     std::optional<ip_bytes> toBytes(const std::string& address)
     {
         ip_bytes bytes {};
@@ -34,7 +34,7 @@
         return port;
     }
 
-    // Takes the brackets off an IPv6 number, which has to have them before a port.
+    // Removes the brackets around an IPv6 address, which are required before a port.
     std::optional<std::string> parseHost(const std::string& text)
     {
         bool isV6 = text.find(':') != std::string::npos;
--- a/Source/settings/node_settings.h
+++ b/Source/settings/node_settings.h
@@ -8,40 +8,42 @@
 
 namespace vanillashunt {
 
-// Where a port listens and where others reach it. The two differ behind a proxy
-// or address translation. An empty advertised address means the bound one.
+// The address that a port listens on, and the address where others reach it. The two differ
+// behind a proxy or address translation. If the advertised address is empty, the bound one is
+// used.
 struct port_settings {
-    // "IP:port"; port 0 takes a free one.
+    // "IP:port"; port 0 selects a free port.
     std::string listen;
     std::string advertise;
 };
 
-// What a node that serves an operator's routes needs beside the rest.
+// Additional settings of a node that serves an operator's routes.
 struct route_settings {
-    // The service of the server beside the node, and where it serves: "IP:port".
+    // The service of the backend server next to the node, and the address of that server:
+    // "IP:port".
     std::string service;
     std::string server;
-    // Where the platform asks whether the node is ready.
+    // The address where the platform checks whether the node is ready: "IP:port".
     std::string readyListen;
-    // Repeats that all nodes together may send for each request to a service, and
-    // beside that, within the window.
+    // Retry budget of all nodes together for a service, within the window: a ratio of its
+    // requests, plus a fixed number.
     double retryRatio = 0.2;
     double retrySlack = 0;
     std::chrono::milliseconds retryWindow { 10000 };
-    // Availability zones that share the organisations' limits evenly, this node's among them.
+    // Availability zones that share the organisations' limits evenly, including this node's.
     std::vector<std::string> zones {};
-    // What all nodes together may let through beyond a limit: in any window this part of
-    // what the limit allows in it, and so many requests.
+    // How far all nodes together may exceed a limit: in any window by this fraction of the
+    // requests that the limit allows in it, plus a fixed number of requests.
     double quotaOver = 0;
     std::chrono::milliseconds quotaWindow { 5000 };
     double quotaSlack = 0;
-    // Whether calls go by what servers tell of their speed.
+    // Whether calls are balanced by the speed that backend servers report.
     bool balanceByPace = true;
-    // From SIGTERM until the platform kills the process.
+    // Time from SIGTERM until the platform kills the process.
     std::chrono::milliseconds grace { 6000 };
 };
 
-// What one node reads at its start.
+// The settings that a node reads when it starts.
 struct node_settings {
     std::string name;
     std::string availabilityZone;
@@ -49,33 +51,34 @@
     // The address that outgoing sockets are bound to.
     std::string outgoingAddress;
 
-    // HTTP for callers outside and for the own backend server's onward calls.
+    // HTTP port for callers outside the mesh and for outgoing calls of the node's own backend
+    // server.
     port_settings caller;
-    // Where the own backend server announces itself.
+    // Port where the node's own backend server announces itself.
     port_settings backend;
-    // Peers: calls over TCP and gossip over UDP, on the same port number.
+    // Port for peers: calls over TCP and gossip over UDP, on the same port number.
     port_settings peer;
-    // Metrics, dump and control calls.
+    // Port for metrics, dumps and control calls.
     port_settings operators;
 
-    // The platform's store: "IP:port" each.
+    // Addresses of the platform's store, each "IP:port".
     std::vector<std::string> platformEndpoints;
-    // Peers to join besides the seeds in the store: "IP:port" each.
+    // Peers to join in addition to the seeds in the store, each "IP:port".
     std::vector<std::string> joinAddresses;
 
-    // Largest body of a request or an answer, in bytes.
+    // Maximum size of the body of a request or response, in bytes.
     std::uint64_t maxBodyBytes = 1024ULL * 1024;
-    // Longest time that a planned stop waits for work in flight.
+    // Maximum time that a planned stop waits for calls in flight.
     std::chrono::milliseconds drainTimeout { 30000 };
-    // Least severity that is logged: "debug", "info", "warning" or "error".
+    // Minimum severity of log events: "debug", "info", "warning" or "error".
     std::string logLevel = "info";
-    // How much the node decides: "full"; "hop" and "none" are baselines to
-    // measure against: plain limits per hop, and none.
+    // Overload control of the node: "full", or one of the baselines for comparison: "hop" for
+    // plain limits per hop, "none" for no limits.
     std::string policy = "full";
-    // The name of the mesh; may be empty. Gossip and quota datagrams of nodes with another
-    // mesh name are dropped.
+    // Name of the mesh; may be empty. Gossip and quota datagrams from nodes with another mesh
+    // name are dropped.
     std::string mesh {};
-    // Only for the command routed-node.
+    // Only used by the command routed-node.
     std::optional<route_settings> routes {};
 };
 
--- a/Source/settings/parse_settings.cpp
+++ b/Source/settings/parse_settings.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-    constexpr std::uint64_t leastMaxBody = 1024;
-    constexpr std::uint64_t largestMaxBody = 64UL * 1024 * 1024;
-    constexpr std::chrono::milliseconds longestDrainTimeout { 600000 };
-    constexpr std::size_t longestLabel = 63;
+    constexpr std::uint64_t minBodyLimit = 1024;
+    constexpr std::uint64_t maxBodyLimit = 64UL * 1024 * 1024;
+    constexpr std::chrono::milliseconds maxDrainTimeout { 600000 };
+    constexpr std::size_t maxLabelLength = 63;
     const std::string defaultListen = "127.0.0.1:0";
 
     const toml_key nodeKey { "node", "", presence::Optional };
@@ -65,10 +65,10 @@
 
     bool isLabel(const std::string& text)
     {
-        return !text.empty() && text.size() <= longestLabel && std::all_of(text.begin(), text.end(), isLabelCharacter);
+        return !text.empty() && text.size() <= maxLabelLength && std::all_of(text.begin(), text.end(), isLabelCharacter);
     }
 
-    // An empty text is what the settings hold by default, and is written by formatSettings.
+    // The empty text is the default value, which formatSettings writes out.
     bool isLabelOrEmpty(const std::string& text)
     {
         return text.empty() || isLabel(text);
@@ -95,57 +95,58 @@
         return text.empty() || isReachableEndpoint(text);
     }
 
-    constexpr std::size_t longestMeshName = 255;
+    constexpr std::size_t maxMeshNameLength = 255;
 
     bool isMeshNameOrEmpty(const std::string& text)
     {
-        return text.size() <= longestMeshName && std::none_of(text.begin(), text.end(), [](unsigned char character) { return std::iscntrl(character) != 0; });
+        return text.size() <= maxMeshNameLength && std::none_of(text.begin(), text.end(), [](unsigned char character) { return std::iscntrl(character) != 0; });
     }
 
-    const std::string labelWords = "1 to 63 of a-z, A-Z, 0-9, \"-\", \"_\" and \".\"";
-    const std::string endpointWords = "\"IP:port\" with the address in numbers, IPv6 in brackets";
-    const std::string reachableWords = endpointWords + ", and neither the address nor the port 0";
+    const std::string labelDescription = "1 to 63 characters from a-z, A-Z, 0-9, \"-\", \"_\" and \".\"";
+    const std::string endpointDescription = "\"IP:port\" with a numeric address, IPv6 in brackets";
+    const std::string reachableDescription = endpointDescription + ", not an unspecified address and not port 0";
 
-    const toml_rule<std::string> labelRule { isLabel, labelWords };
-    const toml_rule<std::string> labelOrEmptyRule { isLabelOrEmpty, "empty or " + labelWords };
+    const toml_rule<std::string> labelRule { isLabel, labelDescription };
+    const toml_rule<std::string> labelOrEmptyRule { isLabelOrEmpty, "empty or " + labelDescription };
     const toml_rule<std::string> meshRule { isMeshNameOrEmpty, "empty or at most 255 bytes without control characters" };
-    const toml_rule<std::string> addressRule { isAddressOrEmpty, "empty or an IP address in numbers, without a port" };
-    const toml_rule<std::string> listenRule { isListenEndpoint, endpointWords };
-    const toml_rule<std::string> advertiseRule { isReachableEndpointOrEmpty, "empty or " + reachableWords };
-    const toml_rule<std::string> endpointRule { isReachableEndpoint, reachableWords };
-    const toml_rule<std::string> logLevelRule = wordRule({ "debug", "info", "warning", "error" });
-    const toml_rule<std::string> policyRule = wordRule({ "full", "hop", "none" });
-    const toml_rule<std::uint64_t> maxBodyRule = sizeRule(leastMaxBody, largestMaxBody);
-    const toml_rule<std::chrono::milliseconds> drainTimeoutRule = durationRule(std::chrono::milliseconds(0), longestDrainTimeout);
-
-    constexpr double mostSeconds = 3600;
-    constexpr double mostRetries = 1e6;
-
-    toml_rule<double> realRule(double least, double most, const std::string& words)
+    const toml_rule<std::string> addressRule { isAddressOrEmpty, "empty or a numeric IP address without a port" };
+    const toml_rule<std::string> listenRule { isListenEndpoint, endpointDescription };
+    const toml_rule<std::string> advertiseRule { isReachableEndpointOrEmpty, "empty or " + reachableDescription };
+    const toml_rule<std::string> endpointRule { isReachableEndpoint, reachableDescription };
+    const toml_rule<std::string> logLevelRule = choiceRule({ "debug", "info", "warning", "error" });
+    const toml_rule<std::string> policyRule = choiceRule({ "full", "hop", "none" });
+    const toml_rule<std::uint64_t> maxBodyRule = sizeRule(minBodyLimit, maxBodyLimit);
+    const toml_rule<std::chrono::milliseconds> drainTimeoutRule = durationRule(std::chrono::milliseconds(0), maxDrainTimeout);
+
+    constexpr double maxSeconds = 3600;
+    constexpr double maxSlack = 1e6;
+
+    toml_rule<double> realRule(double min, double max, const std::string& description)
     {
-        return { [least, most](const double& value) { return value >= least && value <= most; }, words };
+        return { [min, max](const double& value) { return value >= min && value <= max; }, description };
     }
 
     const toml_rule<double> ratioRule = realRule(0, 1, "a number from 0 to 1");
-    const toml_rule<double> slackRule = realRule(0, mostRetries, "a number from 0 to 1000000");
-    const toml_rule<double> secondsRule = realRule(0, mostSeconds, "a number of seconds from 0 to 3600");
+    const toml_rule<double> slackRule = realRule(0, maxSlack, "a number from 0 to 1000000");
+    const toml_rule<double> secondsRule = realRule(0, maxSeconds, "a number of seconds from 0 to 3600");
 
     std::chrono::milliseconds fromSeconds(double seconds)
     {
         return std::chrono::milliseconds(std::llround(seconds * 1000));
     }
 
-    // Stands for a section that the text leaves out, so that its keys get their defaults.
+    // Used for a section that the text omits, so that its keys get their defaults.
     const toml_node emptyTable { toml_node::table {}, 0 };
 
-    // A section and where it listens.
+    // A section and the address where its port listens.
     struct listener {
         std::string section;
         ip_endpoint endpoint;
     };
 
-    // Whether two sockets of one machine can't have these addresses both; port 0 takes a free one.
-    bool overlap(const ip_endpoint& a, const ip_endpoint& b)
+    // Returns whether two sockets on one machine cannot be bound to these addresses at the same
+    // time. Port 0 never conflicts, because it selects a free port.
+    bool addressesConflict(const ip_endpoint& a, const ip_endpoint& b)
     {
         bool sameAddress = a.address == b.address || isUnspecified(a) || isUnspecified(b);
         return a.port != 0 && a.port == b.port && sameAddress;
@@ -243,7 +244,7 @@
             reader.reportUnknownKeys();
         }
 
-        // Only a node that serves routes has the section.
+        // Only a node that serves routes has this section.
         void readRoutes()
         {
             const auto* table = m_root.readTable(routesKey);
@@ -269,13 +270,14 @@
             m_settings.routes = routes;
         }
 
-        // Each zone has a part of every limit: this node's has to be among them, once.
+        // Every limit is divided among the zones. The list must include this node's zone, and no
+        // zone twice.
         void checkZones(const std::vector<std::string>& zones, toml_reader& reader)
         {
-            std::set<std::string> each(zones.begin(), zones.end());
-            bool hasOwn = zones.empty() || each.count(m_settings.availabilityZone) != 0;
-            if (!hasOwn || each.size() != zones.size()) {
-                reader.report(zonesKey, "zones has to name each availability zone once, and " + quoteToml(m_settings.availabilityZone) + " of [node] among them");
+            std::set<std::string> distinct(zones.begin(), zones.end());
+            bool includesOwnZone = zones.empty() || distinct.count(m_settings.availabilityZone) != 0;
+            if (!includesOwnZone || distinct.size() != zones.size()) {
+                reader.report(zonesKey, "zones has to name each availability zone once, including " + quoteToml(m_settings.availabilityZone) + " from [node]");
             }
         }
 
@@ -285,23 +287,24 @@
             return seconds ? std::optional(fromSeconds(*seconds)) : std::nullopt;
         }
 
-        // Two ports of one node can't be bound to the same address.
+        // Reports an address that another port of this node listens on.
         void checkListen(const port_settings& port, toml_reader& reader)
         {
             auto endpoint = *parseIpEndpoint(port.listen);
-            for (const auto& taken : m_listeners) {
-                if (overlap(endpoint, taken.endpoint)) {
-                    reader.report(listenKey, "listen is " + quoteToml(port.listen) + ", a port that " + taken.section + " takes already; give each section a port of its own");
+            for (const auto& other : m_listeners) {
+                if (addressesConflict(endpoint, other.endpoint)) {
+                    reader.report(listenKey, "listen is " + quoteToml(port.listen) + ", a port that is already used by " + other.section + "; give each section its own port");
                 }
             }
-            m_listeners.push_back({ reader.place(), endpoint });
+            m_listeners.push_back({ reader.context(), endpoint });
         }
 
-        // Other nodes learn this port's address, and "every address" leads nowhere.
+        // Reports an unspecified address without an advertised one: it would be sent to other nodes,
+        // which cannot connect to it.
         static void checkAdvertised(const port_settings& port, toml_reader& reader)
         {
             if (port.advertise.empty() && isUnspecified(*parseIpEndpoint(port.listen))) {
-                reader.report(listenKey, "listen is " + quoteToml(port.listen) + ", which other nodes can't reach; name their way in, for example advertise = " + advertiseKey.example);
+                reader.report(listenKey, "listen is " + quoteToml(port.listen) + ", which other nodes can't reach; name an address that they can reach, for example advertise = " + advertiseKey.example);
             }
         }
 
--- a/Source/settings/parse_settings.h
+++ b/Source/settings/parse_settings.h
@@ -11,7 +11,8 @@
 
 using parse_settings_result = std::variant<node_settings, std::vector<text_problem>>;
 
-// Reads the settings of a node from TOML; reports every problem at once.
+// Parses the settings of a node from TOML. Returns either the settings or all problems found in
+// the text. The file name is only used in the problems.
 parse_settings_result parseSettings(const std::string& text, const std::string& fileName);
 
 }
--- a/Tests/ContractLimits/contract_limits_test.cpp
+++ b/Tests/ContractLimits/contract_limits_test.cpp
@@ -47,7 +47,7 @@
     }
 
     template <typename Item>
-    std::vector<std::string> texts(const std::vector<Item>& items)
+    std::vector<std::string> toStrings(const std::vector<Item>& items)
     {
         std::vector<std::string> result;
         std::transform(items.begin(), items.end(), std::back_inserter(result), [](const Item& item) { return toString(item); });
@@ -56,30 +56,30 @@
 
 }
 
-TEST(ContractLimits, SharesAtOneServiceAddUpToAtMostOne)
+TEST(ContractLimits, SharesOfOneServiceAddUpToAtMostOne)
 {
     auto set = twoHotels();
-    EXPECT_THAT(texts(checkAgainstOthers({ "kenanga", 0.5, { history() } }, set)), ElementsAre());
-    EXPECT_THAT(texts(checkAgainstOthers({ "kenanga", 0.6, { deskReply() } }, set)), ElementsAre());
-    EXPECT_THAT(texts(checkAgainstOthers({ "kenanga", 0.6, { deskReply(), history() } }, set, "k.toml")),
+    EXPECT_THAT(toStrings(checkAgainstOthers({ "kenanga", 0.5, { history() } }, set)), ElementsAre());
+    EXPECT_THAT(toStrings(checkAgainstOthers({ "kenanga", 0.6, { deskReply() } }, set)), ElementsAre());
+    EXPECT_THAT(toStrings(checkAgainstOthers({ "kenanga", 0.6, { deskReply(), history() } }, set, "k.toml")),
         ElementsAre("k.toml: the shares at service threads add up to more than 1: 0.6 of customer kenanga + 0.1 of customer melati + 0.4 of customer seri; lower a share, or move a class to another service"));
-    // The own contract in force is replaced, not added.
-    EXPECT_THAT(texts(checkAgainstOthers({ "seri", 0.9, { history() } }, set)), ElementsAre());
-    contract_set thirds;
-    add(thirds, { "a", 0.7, { history() } }, 1);
-    add(thirds, { "b", 0.1, { history() } }, 2);
-    EXPECT_THAT(texts(checkAgainstOthers({ "c", 0.2, { history() } }, thirds)), ElementsAre());
+    // The contract in force of the same organisation is replaced, not added.
+    EXPECT_THAT(toStrings(checkAgainstOthers({ "seri", 0.9, { history() } }, set)), ElementsAre());
+    contract_set decimalShares;
+    add(decimalShares, { "a", 0.7, { history() } }, 1);
+    add(decimalShares, { "b", 0.1, { history() } }, 2);
+    EXPECT_THAT(toStrings(checkAgainstOthers({ "c", 0.2, { history() } }, decimalShares)), ElementsAre());
 }
 
 TEST(ContractLimits, DeadlinesLeaveTimeForEachRetry)
 {
-    auto hurried = deskReply();
-    hurried.deadline = milliseconds(29);
-    EXPECT_THAT(texts(checkAgainstOthers({ "seri", 0.4, { hurried } }, {})),
-        ElementsAre("class \"desk-reply\": deadline is \"29ms\", but the first try and 2 retries need 10ms each; write at least deadline = \"30ms\", or fewer retries"));
+    auto shortDeadline = deskReply();
+    shortDeadline.deadline = milliseconds(29);
+    EXPECT_THAT(toStrings(checkAgainstOthers({ "seri", 0.4, { shortDeadline } }, {})),
+        ElementsAre("class \"desk-reply\": deadline is \"29ms\", but the first attempt and 2 retries need 10ms each; write at least deadline = \"30ms\", or fewer retries"));
 }
 
-TEST(ContractLimits, FollowFromTheContract)
+TEST(ContractLimits, AreDerivedFromTheContract)
 {
     auto limits = deriveLimits(twoHotels());
     EXPECT_EQ(limits.revision, 9);
@@ -87,18 +87,18 @@
     EXPECT_EQ(seri.weight, 0.4);
     EXPECT_EQ(seri.revision, 7);
     ASSERT_EQ(seri.services.size(), 2U);
-    EXPECT_DOUBLE_EQ(seri.services.at(0).part, 1);
-    EXPECT_DOUBLE_EQ(seri.services.at(1).part, 0.8);
+    EXPECT_DOUBLE_EQ(seri.services.at(0).fraction, 1);
+    EXPECT_DOUBLE_EQ(seri.services.at(1).fraction, 0.8);
     const auto& reply = seri.classes.at(0);
     EXPECT_EQ(reply.band.first, 2 * positionsPerImportance);
     EXPECT_EQ(reply.band.last, sheddingPositionCount - 1);
     EXPECT_EQ(reply.retryTokens, 2U);
     EXPECT_EQ(reply.ledgerRetention, ticketLifetime);
     EXPECT_EQ(seri.classes.at(1).ledgerRetention, milliseconds(0));
-    EXPECT_EQ(deriveClassLimits({ "slow", "s", "POST", "/", false, importance::Interactive, milliseconds(30000), 0.9, retryBound + 5 }).retryTokens, retryBound);
+    EXPECT_EQ(deriveClassLimits({ "slow", "s", "POST", "/", false, importance::Interactive, milliseconds(30000), 0.9, maxRetries + 5 }).retryTokens, maxRetries);
 }
 
-TEST(ContractLimits, BandsFollowEachOtherAndHoldThePositions)
+TEST(ContractLimits, BandsAreContiguousAndContainThePositions)
 {
     shedding_position next = 0;
     for (auto level : { importance::Deferrable, importance::Interactive, importance::Confirmed }) {
@@ -121,21 +121,21 @@
         "  part of threads = share / sum of shares there = 0.4 / 0.5 = 0.8, while all customers there have requests waiting\n"
         "\n"
         "class desk-reply: POST replies /\n"
-        "  time = min(deadline, what the caller still waits) = at most 2s\n"
+        "  time = min(deadline, time that the caller still waits) = at most 2s\n"
         "  shedding band = importance x 4096, and 4096 positions from there = 2 x 4096 = 8192 to 12287 (confirmed); a node sheds the positions below its cut\n"
         "  retry tokens = min(retries, bound) = min(2, 3) = 2, for all calls of one request together\n"
         "  refusal budget = 1 - target = 1 - 0.999 = 0.001 of the requests\n"
         "  ledger retention = ticket lifetime = 2min\n"
         "\n"
         "class history: GET threads /history\n"
-        "  time = min(deadline, what the caller still waits) = at most 1s\n"
+        "  time = min(deadline, time that the caller still waits) = at most 1s\n"
         "  shedding band = importance x 4096, and 4096 positions from there = 0 x 4096 = 0 to 4095 (deferrable); a node sheds the positions below its cut\n"
         "  retry tokens = min(retries, bound) = min(1, 3) = 1, for all calls of one request together\n"
         "  refusal budget = 1 - target = 1 - 0.95 = 0.05 of the requests\n"
         "  ledger retention = 0, because the class is idempotent and needs no ticket\n");
 }
 
-TEST(ContractLimits, DifferencesAreNamed)
+TEST(ContractLimits, DifferencesAreDescribed)
 {
     contract before { "seri", 0.4, { deskReply(), history() } };
     auto changed = deskReply();
@@ -144,8 +144,8 @@
     auto added = history();
     added.name = "notices";
     contract after { "seri", 0.3, { changed, added } };
-    EXPECT_THAT(texts(diffContracts(before, before)), ElementsAre());
-    EXPECT_THAT(texts(diffContracts(before, after)),
+    EXPECT_THAT(toStrings(diffContracts(before, before)), ElementsAre());
+    EXPECT_THAT(toStrings(diffContracts(before, after)),
         ElementsAre("share 0.4 -> 0.3", "class history removed: GET threads /history, deferrable, 1s",
             "class desk-reply idempotent false -> true", "class desk-reply deadline 2s -> 3s", "class notices added: GET threads /history, deferrable, 1s"));
     auto deadline = diffContracts(before, after).at(3);
@@ -153,10 +153,10 @@
     EXPECT_EQ(deadline.requestClass + " " + deadline.key, "desk-reply deadline");
     changed.idempotent = false;
     EXPECT_EQ(describeConcurrentChange({ before, "", 7 }, { { "seri", 0.4, { changed, history() } }, "", 9 }),
-        "customer seri was changed from revision 7 to 9 by somebody else: class desk-reply deadline 2s -> 3s. Nothing of yours was applied; make your change to revision 9 and apply it again");
+        "customer seri was changed from revision 7 to 9 by somebody else: class desk-reply deadline 2s -> 3s. Your change was not applied; base it on revision 9 and apply it again");
 }
 
-TEST(ContractLimits, TheExamplesAreAllowedTogether)
+TEST(ContractLimits, TheExamplesAreValidTogether)
 {
     int contracts = 0;
     int nodes = 0;
@@ -169,7 +169,7 @@
             if (name.rfind("contract-", 0) == 0) {
                 auto result = parseContract(text.str(), name);
                 ASSERT_TRUE(std::holds_alternative<contract>(result)) << toString(std::get<1>(result).front());
-                EXPECT_THAT(texts(checkAgainstOthers(std::get<contract>(result), set)), ElementsAre());
+                EXPECT_THAT(toStrings(checkAgainstOthers(std::get<contract>(result), set)), ElementsAre());
                 add(set, std::get<contract>(result), ++contracts);
             }
             if (name.rfind("node-", 0) == 0) {
--- a/Tests/ParserGarbage/parser_garbage_test.cpp
+++ b/Tests/ParserGarbage/parser_garbage_test.cpp
@@ -16,16 +16,16 @@
     constexpr int rounds = 3000;
     constexpr int settingsRounds = 300;
 
-    // Pieces of TOML, broken and whole, that random bytes alone would hardly make.
-    const std::vector<std::string> pieces { "\n", " ", "=", "\"", "'", "\"\"\"", "'''", "[", "]", "[[", "]]", "{", "}", ",", ".", "#", "\\", "\\u00e9", "\\ud800", "\\UFFFFFFFF",
+    // Valid and invalid fragments of TOML that random bytes would hardly ever contain.
+    const std::vector<std::string> fragments { "\n", " ", "=", "\"", "'", "\"\"\"", "'''", "[", "]", "[[", "]]", "{", "}", ",", ".", "#", "\\", "\\u00e9", "\\ud800", "\\UFFFFFFFF",
         "customer", "share", "class", "name", "deadline", "node", "peer", "listen", "join", "[[class]]\n", "[node]\n", "a.b.c", "0x", "0b2", "1e999", "-", "+", "_", "1_0", "9223372036854775808", "nan", "inf",
         "1979-05-27T07:32:00Z", "1979-13-41", "07:32:61", "true", "\"2s\"", "\"99999999999999999999s\"", "\r", "\r\n", "\t", std::string(1, '\0'), "\xef\xbb\xbf", "\xff", "\xc3\xa9", "\xf0\x9f\x98\x80" };
 
-    const std::string goodContract = "customer = \"a\"\nshare = 0.4\n[[class]]\nname = \"b\"\nservice = \"c\"\nmethod = \"POST\"\npath = \"/\"\nidempotent = false\n"
-                                     "importance = \"confirmed\"\ndeadline = \"2s\"\ntarget = 0.9\nretries = 2\n";
-    const std::string goodSettings = "[node]\nname = \"a\"\navailability_zone = \"b\"\n[peer]\nlisten = \"[::1]:7\"\njoin = [\"192.0.2.1:7\",\n \"[::1]:7\"]\n[limits]\nmax_body = \"1MiB\"\n";
+    const std::string validContract = "customer = \"a\"\nshare = 0.4\n[[class]]\nname = \"b\"\nservice = \"c\"\nmethod = \"POST\"\npath = \"/\"\nidempotent = false\n"
+                                      "importance = \"confirmed\"\ndeadline = \"2s\"\ntarget = 0.9\nretries = 2\n";
+    const std::string validSettings = "[node]\nname = \"a\"\navailability_zone = \"b\"\n[peer]\nlisten = \"[::1]:7\"\njoin = [\"192.0.2.1:7\",\n \"[::1]:7\"]\n[limits]\nmax_body = \"1MiB\"\n";
 
-    // The seed can be given, so that a failure comes again.
+    // The seed can be set in the environment to reproduce a failure.
     std::uint64_t chooseSeed()
     {
         const char* given = std::getenv("VANILLASHUNT_TEST_SEED");
@@ -34,16 +34,16 @@
         return seed;
     }
 
-    class garbage_source {
+    class random_text_source {
     public:
-        int below(int bound) { return std::uniform_int_distribution<int>(0, bound - 1)(m_random); }
-        const std::string& piece() { return pieces[below(static_cast<int>(pieces.size()))]; }
+        int randomBelow(int bound) { return std::uniform_int_distribution<int>(0, bound - 1)(m_random); }
+        const std::string& fragment() { return fragments[randomBelow(static_cast<int>(fragments.size()))]; }
 
         std::string bytes()
         {
-            std::string text(below(200), ' ');
+            std::string text(randomBelow(200), ' ');
             for (char& character : text) {
-                character = static_cast<char>(below(256));
+                character = static_cast<char>(randomBelow(256));
             }
             return text;
         }
@@ -51,31 +51,31 @@
         std::string tokens()
         {
             std::string text;
-            for (int left = below(60); left > 0; --left) {
-                text += piece();
+            for (int remaining = randomBelow(60); remaining > 0; --remaining) {
+                text += fragment();
             }
             return text;
         }
 
-        // A good text with a few parts cut out, put in or doubled.
+        // Removes, inserts or duplicates a few parts of a valid text.
         std::string mutation(std::string text)
         {
-            for (int left = 1 + below(4); left > 0; --left) {
-                std::size_t at = below(static_cast<int>(text.size()) + 1);
-                std::size_t length = below(12);
-                std::string put = below(2) == 0 ? piece() : text.substr(at, length);
-                text.replace(at, below(2) == 0 ? length : 0, put);
+            for (int remaining = 1 + randomBelow(4); remaining > 0; --remaining) {
+                std::size_t at = randomBelow(static_cast<int>(text.size()) + 1);
+                std::size_t length = randomBelow(12);
+                std::string inserted = randomBelow(2) == 0 ? fragment() : text.substr(at, length);
+                text.replace(at, randomBelow(2) == 0 ? length : 0, inserted);
             }
             return text;
         }
 
-        std::string word() { return "w" + std::to_string(below(1000)); }
-        std::string endpoint() { return (below(2) == 0 ? "192.0.2." + std::to_string(1 + below(254)) : "[2001:db8::" + std::to_string(below(9999)) + "]") + ":" + std::to_string(1 + below(65535)); }
-        port_settings port() { return { endpoint(), below(2) == 0 ? "" : endpoint() }; }
+        std::string word() { return "w" + std::to_string(randomBelow(1000)); }
+        std::string endpoint() { return (randomBelow(2) == 0 ? "192.0.2." + std::to_string(1 + randomBelow(254)) : "[2001:db8::" + std::to_string(randomBelow(9999)) + "]") + ":" + std::to_string(1 + randomBelow(65535)); }
+        port_settings port() { return { endpoint(), randomBelow(2) == 0 ? "" : endpoint() }; }
 
         std::vector<std::string> endpoints()
         {
-            std::vector<std::string> result(below(100));
+            std::vector<std::string> result(randomBelow(100));
             for (auto& text : result) {
                 text = endpoint();
             }
@@ -86,24 +86,25 @@
         {
             static const std::vector<std::string> levels { "debug", "info", "warning", "error" };
             static const std::vector<std::string> policies { "full", "hop", "none" };
-            return { word(), word(), below(2) == 0 ? "" : word(), below(2) == 0 ? "" : "192.0.2.7", port(), port(), port(), port(), endpoints(), endpoints(),
-                static_cast<std::uint64_t>(1024) + below(64 * 1024 * 1023), std::chrono::milliseconds(below(600001)), levels[below(4)], policies[below(3)], below(2) == 0 ? "" : word() };
+            return { word(), word(), randomBelow(2) == 0 ? "" : word(), randomBelow(2) == 0 ? "" : "192.0.2.7", port(), port(), port(), port(), endpoints(), endpoints(),
+                static_cast<std::uint64_t>(1024) + randomBelow(64 * 1024 * 1023), std::chrono::milliseconds(randomBelow(600001)), levels[randomBelow(4)], policies[randomBelow(3)], randomBelow(2) == 0 ? "" : word() };
         }
 
     private:
         std::mt19937_64 m_random { chooseSeed() };
     };
 
-    // Whatever the text, the parsers end with a result, and a refusal has its place and words.
+    // Checks for any text that both parsers return a result, that at least one of them reports
+    // problems, and that each problem has a message of one line and a line number within the text.
     void expectResult(const std::string& text)
     {
         SCOPED_TRACE(testing::PrintToString(text));
         auto terms = parseContract(text, "c.toml");
         auto settings = parseSettings(text, "s.toml");
-        auto* ofContract = std::get_if<std::vector<text_problem>>(&terms);
-        auto* ofSettings = std::get_if<std::vector<text_problem>>(&settings);
-        EXPECT_TRUE(ofContract || ofSettings);
-        for (const auto* problems : { ofContract, ofSettings }) {
+        auto* contractProblems = std::get_if<std::vector<text_problem>>(&terms);
+        auto* settingsProblems = std::get_if<std::vector<text_problem>>(&settings);
+        EXPECT_TRUE(contractProblems || settingsProblems);
+        for (const auto* problems : { contractProblems, settingsProblems }) {
             for (const auto& problem : problems ? *problems : std::vector<text_problem>()) {
                 EXPECT_FALSE(problem.message.empty());
                 EXPECT_LE(problem.line, 1 + std::count(text.begin(), text.end(), '\n'));
@@ -116,31 +117,31 @@
 
 TEST(ParserGarbage, EveryTextGetsAResult)
 {
-    garbage_source source;
+    random_text_source source;
     for (int round = 0; round < rounds; ++round) {
         expectResult(source.bytes());
         expectResult(source.tokens());
-        expectResult(source.mutation(goodContract));
-        expectResult(source.mutation(goodSettings));
+        expectResult(source.mutation(validContract));
+        expectResult(source.mutation(validSettings));
     }
 }
 
-TEST(ParserGarbage, TheDeepestNestingAllowedIsSurvived)
+TEST(ParserGarbage, HandlesTheDeepestAllowedNesting)
 {
-    std::string open = "[\n{" + std::string(500, 'a');
-    for (std::size_t dot = 5; dot < open.size(); dot += 2) {
-        open[dot] = '.';
+    std::string nestedOpening = "[\n{" + std::string(500, 'a');
+    for (std::size_t dot = 5; dot < nestedOpening.size(); dot += 2) {
+        nestedOpening[dot] = '.';
     }
     std::string text = "a=";
     for (int level = 0; level < 4; ++level) {
-        text += open + "=";
+        text += nestedOpening + "=";
     }
     expectResult(text + "1}]}]}]}]\n");
 }
 
-TEST(ParserGarbage, SettingsReadBackAsTheyWereWritten)
+TEST(ParserGarbage, FormattedSettingsParseToTheSameSettings)
 {
-    garbage_source source;
+    random_text_source source;
     for (int round = 0; round < settingsRounds; ++round) {
         auto text = formatSettings(source.settings());
         auto result = parseSettings(text, "s.toml");
