--- a/Source/node/configuration_service.cpp
+++ b/Source/node/configuration_service.cpp
@@ -26,12 +26,12 @@
     constexpr milliseconds maxBackoff { 15000 };
     constexpr std::uint32_t maxDoublings = 5;
 
-    contract_news updateFrom(const store_range& range, std::int64_t since)
+    contract_update updateFrom(const store_range& range, std::int64_t since)
     {
         // The store's own revision also rises with every claim and seed. Only the
         // revisions of contracts count here, or each of those writes would make
         // every node fetch the contracts.
-        contract_news update;
+        contract_update update;
         update.since = since;
         for (const auto& entry : range.entries) {
             update.entries.push_back({ entry.value, entry.modRevision });
@@ -40,7 +40,7 @@
         return update;
     }
 
-    Json::Value toJson(const contract_news& update)
+    Json::Value toJson(const contract_update& update)
     {
         Json::Value value;
         value["since"] = Json::Int64(update.since);
@@ -55,12 +55,12 @@
         return value;
     }
 
-    std::optional<contract_news> parseUpdate(const Json::Value& value)
+    std::optional<contract_update> parseUpdate(const Json::Value& value)
     {
         if (!value.isObject() || !value["since"].isInt64() || !value["revision"].isInt64() || !value["contracts"].isArray()) {
             return std::nullopt;
         }
-        contract_news update;
+        contract_update update;
         update.since = value["since"].asInt64();
         update.revision = value["revision"].asInt64();
         for (const auto& item : value["contracts"]) {
@@ -195,9 +195,9 @@
     m_nextRead = std::chrono::steady_clock::now() + withJitter(backoff);
 }
 
-bool configuration_service::take(const contract_news& update)
+bool configuration_service::take(const contract_update& update)
 {
-    if (!m_book.take(update)) {
+    if (!m_book.merge(update)) {
         return false;
     }
     m_hooks.contractsChanged(m_book.contracts());
@@ -241,7 +241,7 @@
 
 Json::Value configuration_service::updateSince(std::int64_t revision) const
 {
-    return toJson(m_book.newsSince(revision));
+    return toJson(m_book.updateSince(revision));
 }
 
 Json::Value configuration_service::dump() const
--- a/Source/node/configuration_service.h
+++ b/Source/node/configuration_service.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "contract/contract_book.h"
+#include "contract/contract_replica.h"
 #include "decision/member.h"
 #include "operator/peer_rpc.h"
 #include "store/store_client.h"
@@ -67,7 +67,7 @@
     Json::Value dump() const;
 
 private:
-    bool take(const contract_news&);
+    bool take(const contract_update&);
     void schedulePoll(std::chrono::milliseconds);
     void poll();
     bool isStoreWatcher() const;
@@ -84,7 +84,7 @@
     configuration_settings m_settings;
     configuration_hooks m_hooks;
     boost::asio::steady_timer m_timer;
-    contract_book m_book;
+    contract_replica m_book;
     member_list m_members;
     std::unique_ptr<store_watch> m_watch;
     // Whether the watch has ended. poll() destroys it, since it must not be destroyed in its own callback.
