--- a/Source/backend/instance_client.cpp
+++ b/Source/backend/instance_client.cpp
@@ -184,7 +184,7 @@
             m_parser->skip(m_isHead);
         }
 
-        void idleEnded()
+        void idleConnectionEnded()
         {
             if (auto client = m_client.lock()) {
                 client->counts.extraBytes += m_connection.stream().received().size();
@@ -207,7 +207,7 @@
             fail(error.message());
         }
 
-        void bytesCame()
+        void bytesReceived()
         {
             auto& received = m_connection.stream().received();
             while (received.size() > 0 && !m_connection.isClosed() && !m_connection.isIdle()) {
--- a/Source/caller/pipeline_session.cpp
+++ b/Source/caller/pipeline_session.cpp
@@ -64,7 +64,7 @@
         }
     }
 
-    void whenClientGone(std::function<void()> callback) override { m_whenGone = std::move(callback); }
+    void setDisconnectHandler(std::function<void()> callback) override { m_whenGone = std::move(callback); }
 
     void clientGone()
     {
@@ -234,7 +234,7 @@
 
 void pipeline_session::requestArrived()
 {
-    bool readable = m_parser->framedPlainly && m_parser->hosts == 1;
+    bool readable = m_parser->hasSupportedFraming && m_parser->hosts == 1;
     if (!readable) {
         ++m_server->counts.malformed;
         refuse(statusBadRequest, "the request needs one Host and a body of known length or in chunks");
--- a/Source/http/http_server.cpp
+++ b/Source/http/http_server.cpp
@@ -101,7 +101,7 @@
         }
     }
 
-    void whenClientGone(std::function<void()> callback) override
+    void setDisconnectHandler(std::function<void()> callback) override
     {
         m_whenGone = std::move(callback);
     }
--- a/Source/http/http_server.h
+++ b/Source/http/http_server.h
@@ -21,7 +21,7 @@
     virtual void respond(http_response) = 0;
 
     // Sets what is called once if the client closes before the response is sent.
-    virtual void whenClientGone(std::function<void()>) = 0;
+    virtual void setDisconnectHandler(std::function<void()>) = 0;
 };
 
 using http_handler = std::function<void(http_request, std::shared_ptr<http_exchange>)>;
--- a/Source/http/message_parser.h
+++ b/Source/http/message_parser.h
@@ -36,7 +36,7 @@
     std::size_t transferEncodings = 0;
     // The body, if there is one, has a length or comes in plain chunks: anything else
     // would leave its end to be guessed.
-    bool framedPlainly = true;
+    bool hasSupportedFraming = true;
 
 private:
     using field = boost::beast::http::field;
@@ -75,7 +75,7 @@
             return;
         case field::transfer_encoding:
             ++transferEncodings;
-            framedPlainly = transferEncodings == 1 && boost::beast::iequals(value, "chunked");
+            hasSupportedFraming = transferEncodings == 1 && boost::beast::iequals(value, "chunked");
             return;
         case field::host:
             ++hosts;
--- a/Source/http/pooled_connection.h
+++ b/Source/http/pooled_connection.h
@@ -11,9 +11,9 @@
 // What the connections of a connection_pool have in common, whatever goes over them: a
 // socket that is read from its opening to its end, so that the end of an idle connection
 // is noticed before a request is lost on it. A Connection has, for bytes and ends:
-//   void bytesCame();                 what has been received is to be looked at
+//   void bytesReceived();                 what has been received is to be looked at
 //   void connectionEnded(error_code); with a request in progress
-//   void idleEnded();                 or bytes came that nobody has asked for; it is closed
+//   void idleConnectionEnded();                 or bytes came that nobody has asked for; it is closed
 template <typename Connection>
 class pooled_connection : public std::enable_shared_from_this<Connection> {
 public:
@@ -49,14 +49,14 @@
         }
         if (m_connection.isIdle()) {
             m_connection.close();
-            connection.idleEnded();
+            connection.idleConnectionEnded();
             return;
         }
         if (error) {
             connection.connectionEnded(error);
             return;
         }
-        connection.bytesCame();
+        connection.bytesReceived();
         if (!m_connection.isClosed()) {
             read();
         }
--- a/Source/node/call_actor.cpp
+++ b/Source/node/call_actor.cpp
@@ -116,7 +116,7 @@
     auto exchange = message.exchange;
     auto callId = m_outbound.start(
         message.request, [exchange](final_answer final) { exchange->respond(toResponse(std::move(final))); }, currentTime());
-    exchange->whenClientGone([this, callId] { sendSelf(caller_left { callId }); });
+    exchange->setDisconnectHandler([this, callId] { sendSelf(caller_left { callId }); });
 }
 
 void call_actor::peerCallArrived(const peer_call_arrived& message)
@@ -128,7 +128,7 @@
             exchange->answer(answer);
         },
         currentTime());
-    exchange->whenCancelled([this, arrivalId] { sendSelf(peer_call_cancelled { arrivalId }); });
+    exchange->setCancelHandler([this, arrivalId] { sendSelf(peer_call_cancelled { arrivalId }); });
 }
 
 void call_actor::sendAttempt(std::uint64_t attemptId, const member& target, const call_request& request)
--- a/Source/node/quota_service.cpp
+++ b/Source/node/quota_service.cpp
@@ -1,6 +1,6 @@
 #include "node/quota_service.h"
 
-#include "peer/datagram_seal.h"
+#include "peer/datagram_checksum.h"
 #include "peer/quota_codec.h"
 
 namespace vanillashunt {
--- a/Source/node/routed_calls.cpp
+++ b/Source/node/routed_calls.cpp
@@ -134,7 +134,7 @@
             exchange->respond(responseTo(requestId, std::move(answer)));
         },
         now);
-    exchange->whenClientGone([this, callId] { m_entry.cancel(callId, std::chrono::steady_clock::now()); });
+    exchange->setDisconnectHandler([this, callId] { m_entry.cancel(callId, std::chrono::steady_clock::now()); });
 }
 
 void routed_calls::sendAttempt(std::uint64_t attemptId, const member& target, const call_request& request)
@@ -177,7 +177,7 @@
     m_hooks.callArrived();
     auto id = m_target.arrive(
         std::move(request), [exchange](const call_answer& answer) { exchange->answer(answer); }, std::chrono::steady_clock::now());
-    exchange->whenCancelled([this, id] { m_target.cancel(id, std::chrono::steady_clock::now()); });
+    exchange->setCancelHandler([this, id] { m_target.cancel(id, std::chrono::steady_clock::now()); });
 }
 
 void routed_calls::tick(time_point now)
--- a/Source/peer/call_codec.cpp
+++ b/Source/peer/call_codec.cpp
@@ -150,12 +150,12 @@
     public:
         // The id is empty where the frame itself tells it.
         frame_writer(frame_history& history, const std::string& requestId)
-            : m_bytes(frameHeadBytes)
+            : m_bytes(frameHeaderBytes)
             , m_sink(nullptr, m_bytes)
             , m_history(history)
         {
             m_bytes.reserve(usualBytes);
-            m_sink.seek(frameHeadBytes);
+            m_sink.seek(frameHeaderBytes);
             m_history.beginFrame(requestId);
         }
 
@@ -293,11 +293,11 @@
         if (m_failed) {
             return {};
         }
-        auto length = m_bytes.size() - frameHeadBytes;
+        auto length = m_bytes.size() - frameHeaderBytes;
         auto* head = reinterpret_cast<unsigned char*>(m_bytes.data());
         boost::endian::store_little_u32(head, magic | static_cast<std::uint32_t>(kind) << kindShift);
         boost::endian::store_little_u32(head + lengthOffset, static_cast<std::uint32_t>(length));
-        boost::endian::store_little_u64(head + checksumOffset, checksum(m_bytes.data() + frameHeadBytes, length));
+        boost::endian::store_little_u64(head + checksumOffset, checksum(m_bytes.data() + frameHeaderBytes, length));
         return std::move(m_bytes);
     }
 
@@ -326,17 +326,17 @@
 
 frame_search findFrame(std::string_view bytes, frame_kind kind, std::uint64_t maxBodyBytes, found_frame& found)
 {
-    if (bytes.size() < frameHeadBytes) {
+    if (bytes.size() < frameHeaderBytes) {
         return frame_search::Incomplete;
     }
     auto head = decodeHead(bytes.data());
     if (!head || head->kind != kind || head->length > maxBodyBytes + frameOverheadBytes) {
         return frame_search::Damaged;
     }
-    if (bytes.size() < frameHeadBytes + head->length) {
+    if (bytes.size() < frameHeaderBytes + head->length) {
         return frame_search::Incomplete;
     }
-    found = { *head, bytes.substr(frameHeadBytes, head->length) };
+    found = { *head, bytes.substr(frameHeaderBytes, head->length) };
     return checksumMatches(found.head, found.payload) ? frame_search::Found : frame_search::Damaged;
 }
 
--- a/Source/peer/call_codec.h
+++ b/Source/peer/call_codec.h
@@ -30,7 +30,7 @@
     std::uint64_t checksum = 0;
 };
 
-constexpr std::size_t frameHeadBytes = 16;
+constexpr std::size_t frameHeaderBytes = 16;
 
 // Bytes that a frame may have beside the bodies that the settings bound.
 constexpr std::uint64_t frameOverheadBytes = 64ULL * 1024;
--- a/Source/peer/datagram_seal.cpp
+++ b/Source/peer/datagram_checksum.cpp
@@ -1,4 +1,4 @@
-#include "peer/datagram_seal.h"
+#include "peer/datagram_checksum.h"
 
 #include <boost/endian/conversion.hpp>
 #include <xxhash.h>
--- a/Source/peer/gossip_codec.cpp
+++ b/Source/peer/gossip_codec.cpp
@@ -1,6 +1,6 @@
 #include "peer/gossip_codec.h"
 
-#include "peer/datagram_seal.h"
+#include "peer/datagram_checksum.h"
 
 #include <caf/binary_deserializer.hpp>
 #include <caf/binary_serializer.hpp>
--- a/Source/peer/gossip_socket.cpp
+++ b/Source/peer/gossip_socket.cpp
@@ -1,7 +1,7 @@
 #include "peer/gossip_socket.h"
 
 #include "events/event_catalogue.h"
-#include "peer/datagram_seal.h"
+#include "peer/datagram_checksum.h"
 #include "peer/gossip_codec.h"
 
 namespace vanillashunt {
--- a/Source/peer/peer_client.cpp
+++ b/Source/peer/peer_client.cpp
@@ -116,14 +116,14 @@
 
         void connectionEnded(const error_code&) { fail(verdict::mayHaveRun(verdict_reason::AnswerLost)); }
 
-        void idleEnded()
+        void idleConnectionEnded()
         {
             if (auto client = m_client.lock()) {
                 client->pool.dropIdle(shared_from_this());
             }
         }
 
-        void bytesCame()
+        void bytesReceived()
         {
             auto client = m_client.lock();
             if (!client) {
@@ -144,7 +144,7 @@
                 failDamaged();
                 return;
             }
-            received.consume(frameHeadBytes + found.payload.size());
+            received.consume(frameHeaderBytes + found.payload.size());
             answerArrived(*client, std::move(*answer));
         }
 
--- a/Source/peer/peer_server.cpp
+++ b/Source/peer/peer_server.cpp
@@ -84,7 +84,7 @@
             }
         }
 
-        void whenCancelled(std::function<void()> callback) override
+        void setCancelHandler(std::function<void()> callback) override
         {
             m_whenCancelled = std::move(callback);
         }
@@ -128,7 +128,7 @@
         if (search == frame_search::Incomplete) {
             return;
         }
-        bool isOnlyOne = frameHeadBytes + found.payload.size() == m_stream.bytes().size();
+        bool isOnlyOne = frameHeaderBytes + found.payload.size() == m_stream.bytes().size();
         if (search == frame_search::Damaged || !isOnlyOne) {
             closeDamaged();
             return;
--- a/Source/peer/peer_server.h
+++ b/Source/peer/peer_server.h
@@ -21,7 +21,7 @@
     virtual void answer(const call_answer&) = 0;
 
     // Sets what is called once if the peer closes before the answer is sent.
-    virtual void whenCancelled(std::function<void()>) = 0;
+    virtual void setCancelHandler(std::function<void()>) = 0;
 };
 
 using peer_call_handler = std::function<void(call_request, std::shared_ptr<peer_exchange>)>;
--- a/Tests/FuzzEdges/edge_inputs.cpp
+++ b/Tests/FuzzEdges/edge_inputs.cpp
@@ -147,7 +147,7 @@
         frame_history sender;
         frame_history receiver;
         auto frame = encodeFrame(*request, now, sender);
-        require(decodeRequest(std::string_view(frame.data(), frame.size()).substr(frameHeadBytes), now, receiver).has_value(), "a request that cannot be read again");
+        require(decodeRequest(std::string_view(frame.data(), frame.size()).substr(frameHeaderBytes), now, receiver).has_value(), "a request that cannot be read again");
     }
 
     void readAnswerFrame(std::string_view payload)
@@ -161,7 +161,7 @@
     {
         found_frame found;
         if (findFrame(bytes, frame_kind::Request, maxBodyBytes, found) == frame_search::Found) {
-            require(found.payload.size() + frameHeadBytes <= bytes.size(), "a frame beyond its bytes");
+            require(found.payload.size() + frameHeaderBytes <= bytes.size(), "a frame beyond its bytes");
         }
     }
 
@@ -324,8 +324,8 @@
         with(edge::Routes, R"({"version":"r12","resources":[{"type":"routes","metadata":{"name":"one"},"spec":{"host":"a.example","prefix":"/x/","kind":"idempotent","timeout_s":2,"target_latency_s":1,"priority":0,"traffic_split":[{"service":"desk","weight":1}],"max_attempts":2,"public":true}},{"type":"tenants","metadata":{"name":"guests"},"spec":{"api_keys":["k1","k2"],"priority":1,"rate_per_s":5,"burst":5}},{"type":"services","metadata":{"name":"desk"},"spec":{}},{"type":"limits","metadata":{"name":"l"},"spec":{"max_header_bytes":8192,"max_body_bytes":65536,"header_timeout_s":2,"idle_timeout_s":9}}]})"),
         with(edge::Poison, examplePoison()),
         with(edge::Gossip, exampleGossip()),
-        with(edge::RequestFrame, frameOf(request, frameHeadBytes)),
-        with(edge::AnswerFrame, frameOf(answer, frameHeadBytes)),
+        with(edge::RequestFrame, frameOf(request, frameHeaderBytes)),
+        with(edge::AnswerFrame, frameOf(answer, frameHeaderBytes)),
         with(edge::FrameSearch, frameOf(request, 0)),
         with(edge::ClientBytes, "POST /x/1 HTTP/1.1\r\nHost: a.example\r\nVanillashunt-Request-Id: r.1\r\nVanillashunt-Deadline-Ms: 20\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"),
         with(edge::ServerBytes, "HTTP/1.1 200 OK\r\nVanillashunt-Request-Id: r.1\r\nVanillashunt-Server-Seal: s\r\nKeep-Alive: timeout=5\r\nContent-Length: 4\r\n\r\nbody"),
--- a/Tests/OutsideBytes/outside_bytes_test.cpp
+++ b/Tests/OutsideBytes/outside_bytes_test.cpp
@@ -36,7 +36,7 @@
 
     std::string_view payloadOf(const byte_vector& frame)
     {
-        return std::string_view(frame.data(), frame.size()).substr(frameHeadBytes);
+        return std::string_view(frame.data(), frame.size()).substr(frameHeaderBytes);
     }
 
     call_request sampleRequest()
@@ -192,7 +192,7 @@
     auto now = std::chrono::steady_clock::now();
     frame_history sent;
     auto request = encodeFrame(sampleRequest(), now, sent);
-    std::string original(request.begin() + frameHeadBytes, request.end());
+    std::string original(request.begin() + frameHeaderBytes, request.end());
     auto head = *decodeHead(request.data());
     for (int i = 0; i < rounds; ++i) {
         auto text = damage(original, random);
--- a/Tests/PeerCalls/peer_calls_test.cpp
+++ b/Tests/PeerCalls/peer_calls_test.cpp
@@ -73,7 +73,7 @@
         tcp::socket m_socket;
         answer_hook m_answer;
         frame_history m_received;
-        std::array<char, frameHeadBytes> m_head {};
+        std::array<char, frameHeaderBytes> m_head {};
         byte_vector m_payload;
         byte_vector m_bytes;
     };
@@ -183,7 +183,7 @@
             return;
         }
         held.push_back(exchange);
-        exchange->whenCancelled([&] { ++cancelled; });
+        exchange->setCancelHandler([&] { ++cancelled; });
     });
     peer_client client(context, {});
     auto first = client.start(server.address(), someRequest(7), [](const call_answer&) { FAIL() << "the call was given up"; });
--- a/Tests/PipelinedClients/pipelined_clients_test.cpp
+++ b/Tests/PipelinedClients/pipelined_clients_test.cpp
@@ -75,7 +75,7 @@
     private:
         void note(http_request request, const std::shared_ptr<http_exchange>& exchange)
         {
-            exchange->whenClientGone([this] {
+            exchange->setDisconnectHandler([this] {
                 std::lock_guard<std::mutex> lock(m_mutex);
                 ++m_gone;
                 m_changed.notify_all();
--- a/Tests/SocketStream/socket_stream_test.cpp
+++ b/Tests/SocketStream/socket_stream_test.cpp
@@ -170,13 +170,13 @@
     ASSERT_TRUE(parser.is_done());
     EXPECT_EQ(parser.status, 200U);
     EXPECT_EQ(parser.body, "body and");
-    EXPECT_TRUE(parser.framedPlainly);
+    EXPECT_TRUE(parser.hasSupportedFraming);
     EXPECT_TRUE(parser.fields.empty());
 }
 
 TEST(MessageParser, TellsOfABodyWhoseEndIsToBeGuessed)
 {
-    EXPECT_FALSE(parsed<true>("GET /x/ HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n").framedPlainly);
+    EXPECT_FALSE(parsed<true>("GET /x/ HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n").hasSupportedFraming);
     EXPECT_EQ(parsed<true>("GET /x/ HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n").hosts, 2U);
 }
 
