--- a/Source/backend/instance_client.cpp
+++ b/Source/backend/instance_client.cpp
@@ -240,7 +240,7 @@
             }
             bool mayGoOn = m_parser->keep_alive() && !m_parser->need_eof();
             auto response = takeResponse();
-            if (!client->settings.belongs(response, m_requestId)) {
+            if (!client->settings.isAnswerTo(response, m_requestId)) {
                 ++client->counts.foreignAnswers;
                 passOver(mayGoOn);
                 return;
--- a/Source/caller/pipeline_session.cpp
+++ b/Source/caller/pipeline_session.cpp
@@ -129,7 +129,7 @@
     return longestLeaving;
 }
 
-void pipeline_session::endLate(time_point now)
+void pipeline_session::enforceTimeouts(time_point now)
 {
     auto bound = longest(m_stage);
     if (bound == std::chrono::milliseconds::max() || now - m_stageEntered < bound) {
--- a/Source/node/routed_calls.cpp
+++ b/Source/node/routed_calls.cpp
@@ -86,7 +86,7 @@
     hooks.cancelRun = [this](std::uint64_t runId) { m_runs.cancel(runId); };
     hooks.serverRestarted = [this] { m_runs.closeIdle(); };
     hooks.checkServer = [this] {
-        m_runs.askWhetherThere([this](server_presence presence) { m_target.serverChecked(presence, std::chrono::steady_clock::now()); });
+        m_runs.checkPresence([this](server_presence presence) { m_target.serverChecked(presence, std::chrono::steady_clock::now()); });
     };
     hooks.serverEnded = [this](const server_end& end) { m_hooks.serverEnded(end); };
     hooks.standingOf = [this](request_fingerprint content) { return m_hooks.standingOf(content); };
@@ -103,7 +103,7 @@
     hooks.misdirected = [this](const server_start& start) {
         m_hooks.misdirected(start);
     };
-    hooks.loadTold = [this](const server_start& start, const std::optional<server_load>& load) {
+    hooks.loadReported = [this](const server_start& start, const std::optional<server_load>& load) {
         if (load) {
             m_target.serverReportedLoad(start, *load, std::chrono::steady_clock::now());
         } else {
--- a/Tests/FuzzEdges/edge_inputs.cpp
+++ b/Tests/FuzzEdges/edge_inputs.cpp
@@ -203,7 +203,7 @@
             return;
         }
         auto marks = readAnswerMarks(parser.fields);
-        auto answer = judgeAnswer(http_response { parser.status, parser.fields, parser.body }, marks);
+        auto answer = classifyAnswer(http_response { parser.status, parser.fields, parser.body }, marks);
         bool isSuccess = answer.outcome.run == execution::Ran && answer.status >= 200 && answer.status < 300;
         require(!isSuccess || marks.isSealed, "a success without the server's signature");
     }
--- a/Tests/PipelinedClients/pipelined_clients_test.cpp
+++ b/Tests/PipelinedClients/pipelined_clients_test.cpp
@@ -60,9 +60,9 @@
             m_changed.wait(lock, [&] { return m_gone >= count; });
         }
 
-        void endLate(std::chrono::milliseconds later)
+        void enforceTimeouts(std::chrono::milliseconds later)
         {
-            onLoop([this, later] { m_server->endLate(std::chrono::steady_clock::now() + later); });
+            onLoop([this, later] { m_server->enforceTimeouts(std::chrono::steady_clock::now() + later); });
         }
 
         void closeAfterAnswers()
@@ -179,7 +179,7 @@
     auto other = server.connect();
     other.send(get("/other"));
     server.request(0);
-    server.endLate(server.limits.headerTimeout);
+    server.enforceTimeouts(server.limits.headerTimeout);
     EXPECT_EQ(slow.readToEnd().substr(0, 12), "HTTP/1.1 408");
 }
 
