--- a/Source/caller/pipeline_session.cpp
+++ b/Source/caller/pipeline_session.cpp
@@ -65,7 +65,7 @@
         }
     }
 
-    void whenClientGone(std::function<void()> callback) override { m_whenGone = std::move(callback); }
+    void setDisconnectHandler(std::function<void()> callback) override { m_whenGone = std::move(callback); }
 
     void clientGone()
     {
@@ -235,7 +235,7 @@
 
 void pipeline_session::requestComplete()
 {
-    bool isUnambiguous = m_parser->framedPlainly && m_parser->hosts == 1;
+    bool isUnambiguous = m_parser->hasSupportedFraming && m_parser->hosts == 1;
     if (!isUnambiguous) {
         ++m_server->counts.malformed;
         reject(statusBadRequest, "the request must have exactly one Host field, and its body a known length or chunked encoding");
